--- a/internal/config/version/version.go
+++ b/internal/config/version/version.go
@@ -118,7 +118,7 @@
 
 // Change puts a text as the version after base. It returns the version that is
 // current then. The error wraps ErrBase, ErrOtherText, store.ErrUnavailable or
-// store.ErrUnknown.
+// store.ErrOutcomeUnknown.
 func Change(ctx context.Context, s store.Store, base int64, change, body string) (Version, error) {
 	row, err := store.Get(ctx, s, Key)
 	if err != nil {
--- a/internal/host/api/configuration.go
+++ b/internal/host/api/configuration.go
@@ -136,7 +136,7 @@
 	const comeBack = 2 * time.Second // the store is seldom away for less
 	p := Problem{Status: http.StatusServiceUnavailable, Type: "notAccepted", RetryAfter: now.Add(comeBack)}
 	p.Detail = "not accepted: " + err.Error()
-	if errors.Is(err, store.ErrUnknown) {
+	if errors.Is(err, store.ErrOutcomeUnknown) {
 		p.Status, p.Type = http.StatusGatewayTimeout, "notKnownYet"
 		p.Detail = "not known yet, put it again with the same change id: " + err.Error()
 	}
--- a/internal/host/api/jobs.go
+++ b/internal/host/api/jobs.go
@@ -114,7 +114,7 @@
 	switch {
 	case errors.Is(err, request.ErrInvalid), errors.Is(err, graph.ErrInvalid):
 		Problem{Status: http.StatusBadRequest, Detail: err.Error(), State: string(progress.NotRun)}.write(w, now)
-	case errors.Is(err, request.ErrUnknown):
+	case errors.Is(err, request.ErrNotFound):
 		Problem{Status: http.StatusNotFound, Detail: err.Error(), State: string(progress.NotRun)}.write(w, now)
 	case errors.Is(err, entry.ErrNotAccepted):
 		Problem{
--- a/internal/host/dispatcher/carry.go
+++ b/internal/host/dispatcher/carry.go
@@ -182,7 +182,7 @@
 // commit makes a transaction. cut tells that the store was regained meanwhile, and the
 // outcome is not known.
 func (o *office) commit(tx store.Tx) (res store.Result, cut bool, err error) {
-	cut, err = store.UntilRegained(o.ctx, o.regained(), func(ctx context.Context) error {
+	cut, err = store.RunUntilRecovered(o.ctx, o.regained(), func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, storeTime)
 		defer cancel()
 		var err error
@@ -254,7 +254,7 @@
 	defer cancel()
 	page, err := o.store.Changes(ctx, jobsTable, o.scanned, 0)
 	switch {
-	case errors.Is(err, store.ErrHistory):
+	case errors.Is(err, store.ErrCompacted):
 		return o.rescan(ctx)
 	case err != nil:
 		o.log.V(1).Info("jobs not scanned", "after", o.scanned, "error", err.Error())
@@ -269,7 +269,7 @@
 func (o *office) rescan(ctx context.Context) error {
 	version := int64(0)
 	for p := range Parts {
-		page, err := store.ReadAll(ctx, o.store, store.Range{Table: jobsTable, Part: fmt.Sprint(p)})
+		page, err := store.ReadAll(ctx, o.store, store.Range{Table: jobsTable, Partition: fmt.Sprint(p)})
 		if err != nil {
 			o.log.V(1).Info("jobs not scanned", "part", p, "error", err.Error())
 			return err
--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -222,7 +222,7 @@
 }
 
 func (o *office) odd(r store.Row, err error) {
-	o.log.Info("row ignored", "table", r.Key.Table, "part", r.Key.Part, "name", r.Key.Name, "version", r.Version, "error", fmt.Sprint(err))
+	o.log.Info("row ignored", "table", r.Key.Table, "part", r.Key.Partition, "name", r.Key.Name, "version", r.Version, "error", fmt.Sprint(err))
 }
 
 func pause(ctx context.Context, d time.Duration) {
@@ -379,7 +379,7 @@
 			case <-time.After(max(next.Sub(o.clock()), 0)):
 			}
 			next = o.clock().Add(d)
-			cut, err := store.UntilRegained(o.ctx, o.regained(), f)
+			cut, err := store.RunUntilRecovered(o.ctx, o.regained(), f)
 			switch {
 			case cut:
 				next = o.clock()
--- a/internal/host/dispatcher/regained_test.go
+++ b/internal/host/dispatcher/regained_test.go
@@ -59,7 +59,7 @@
 		return nil
 	}
 	<-ctx.Done()
-	return store.ErrUnknown
+	return store.ErrOutcomeUnknown
 }
 
 // lists returns when lists were given.
--- a/internal/host/dispatcher/rows.go
+++ b/internal/host/dispatcher/rows.go
@@ -29,21 +29,21 @@
 
 // JobKey returns the key of an accepted job.
 func JobKey(part int, id graph.JobID) store.Key {
-	return store.Key{Table: jobsTable, Part: strconv.Itoa(part), Name: string(id)}
+	return store.Key{Table: jobsTable, Partition: strconv.Itoa(part), Name: string(id)}
 }
 
 // CancelKey returns the key of a job's cancelling.
 func CancelKey(part int, id graph.JobID) store.Key {
-	return store.Key{Table: jobsTable, Part: strconv.Itoa(part), Name: string(id) + cancelSuffix}
+	return store.Key{Table: jobsTable, Partition: strconv.Itoa(part), Name: string(id) + cancelSuffix}
 }
 
 // ProgressKey returns the key of a job's progress.
 func ProgressKey(part int, id graph.JobID) store.Key {
-	return store.Key{Table: progressTable, Part: strconv.Itoa(part), Name: string(id)}
+	return store.Key{Table: progressTable, Partition: strconv.Itoa(part), Name: string(id)}
 }
 
 func fenceKey(part int) store.Key {
-	return store.Key{Table: fenceTable, Part: strconv.Itoa(part), Name: fenceName}
+	return store.Key{Table: fenceTable, Partition: strconv.Itoa(part), Name: fenceName}
 }
 
 // EncodeJob returns the value of a job's row.
@@ -62,7 +62,7 @@
 	if err := json.Unmarshal(value, j); err != nil {
 		return nil, fmt.Errorf("decode job: %w", err)
 	}
-	if err := j.Check(); err != nil {
+	if err := j.Validate(); err != nil {
 		return nil, fmt.Errorf("decode job: %w", err)
 	}
 	return j, nil
@@ -123,11 +123,11 @@
 // Rows that cannot be read are handed to odd and left out.
 func readPart(ctx context.Context, s store.Store, part int, odd func(store.Row, error)) ([]accepted, int64, error) {
 	name := strconv.Itoa(part)
-	jobs, err := store.ReadAll(ctx, s, store.Range{Table: jobsTable, Part: name})
+	jobs, err := store.ReadAll(ctx, s, store.Range{Table: jobsTable, Partition: name})
 	if err != nil {
 		return nil, 0, fmt.Errorf("read jobs of part %d: %w", part, err)
 	}
-	done, err := store.ReadAll(ctx, s, store.Range{Table: progressTable, Part: name})
+	done, err := store.ReadAll(ctx, s, store.Range{Table: progressTable, Partition: name})
 	if err != nil {
 		return nil, 0, fmt.Errorf("read progress of part %d: %w", part, err)
 	}
--- a/internal/host/dispatcher/shortage_test.go
+++ b/internal/host/dispatcher/shortage_test.go
@@ -124,7 +124,7 @@
 // submit hands in a gang with a spec of so many bytes.
 func (s *shortage) submit(t *testing.T, n, members, spec int) {
 	j := &graph.Job{
-		ID: graph.JobID(fmt.Sprintf("%016x", n+1)), Queue: "q", Service: "s", Account: "a", Priority: n % 2, MaxAttempts: 2, Slack: 3,
+		ID: graph.JobID(fmt.Sprintf("%016x", n+1)), Queue: "q", Service: "s", Account: "a", Priority: n % 2, MaxAttempts: 2, SlackFactor: 3,
 		Allowance: time.Second, Spec: strings.Repeat("x", spec), AcceptedAt: time.Now().UnixMilli(),
 		Steps: []graph.Step{{Count: members, Gang: true, Estimate: 2500 * time.Millisecond, Needs: graph.Resources{CPU: 7500, MemoryMB: 31000, Accelerators: 1}}},
 	}
--- a/internal/host/entry/entry.go
+++ b/internal/host/entry/entry.go
@@ -65,14 +65,14 @@
 
 // Entry serves requests.
 type Entry struct {
-	store  *store.Gauge
+	store  *store.Monitor
 	leader Leader
 	relay  Relay
 	log    logr.Logger
 }
 
 // New returns an entry.
-func New(s *store.Gauge, l Leader, r Relay, log logr.Logger) *Entry {
+func New(s *store.Monitor, l Leader, r Relay, log logr.Logger) *Entry {
 	return &Entry{store: s, leader: l, relay: r, log: log}
 }
 
@@ -80,7 +80,7 @@
 // the store does not take from this host another one hands in. The error wraps
 // graph.ErrInvalid, ErrNotAccepted or ErrNotKnown.
 func (e *Entry) Submit(ctx context.Context, j *graph.Job) error {
-	if err := j.Check(); err != nil {
+	if err := j.Validate(); err != nil {
 		return err
 	}
 	slow := e.storeSlow()
@@ -118,7 +118,7 @@
 }
 
 // storeSlow reports whether calls to the store take so long that one more does harm.
-func (e *Entry) storeSlow() bool { return e.store.Usual() >= slowStore }
+func (e *Entry) storeSlow() bool { return e.store.TypicalLatency() >= slowStore }
 
 // either joins what two hosts could not do: nothing was stored only if both say
 // so.
@@ -238,7 +238,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTime)
 	defer cancel()
 	key, mark := dispatcher.JobKey(partOf(id), id), dispatcher.CancelKey(partOf(id), id)
-	page, err := e.store.Read(ctx, store.Range{Table: key.Table, Part: key.Part, From: key.Name, To: mark.Name + "\x00"})
+	page, err := e.store.Read(ctx, store.Range{Table: key.Table, Partition: key.Partition, From: key.Name, To: mark.Name + "\x00"})
 	if err != nil {
 		return store.Row{}, false, err
 	}
--- a/internal/host/entry/entry_test.go
+++ b/internal/host/entry/entry_test.go
@@ -89,7 +89,7 @@
 	t := rows.New(storeCost)
 	l := rows.NewLink(t, rand.New(rand.NewPCG(1, 2)))
 	r := &rig{table: t, link: l, leader: &listener{cancelled: map[graph.JobID]bool{}, known: map[graph.JobID]view.Told{}}}
-	r.entry = New(store.NewGauge(l, dispatcher.JobKey(0, one), func(bool, error) {}), r.leader, alone{peer}, logr.Discard())
+	r.entry = New(store.NewMonitor(l, dispatcher.JobKey(0, one), func(bool, error) {}), r.leader, alone{peer}, logr.Discard())
 	return r
 }
 
@@ -264,7 +264,7 @@
 		r := newRig(ErrNotAccepted)
 		following, end := context.WithCancel(ctx)
 		defer end()
-		go r.entry.store.Follow(following)
+		go r.entry.store.Run(following)
 		time.Sleep(5 * time.Second)
 		is.NoErr(r.entry.Submit(ctx, job(one, "kiosks")))
 		r.link.Set(rows.Trouble{Silent: true})
--- a/internal/host/entry/writing.go
+++ b/internal/host/entry/writing.go
@@ -25,7 +25,7 @@
 
 // overdue returns after how long a call without an answer counts as overdue.
 func (e *Entry) overdue() time.Duration {
-	return max(leastOverdue, overdueFactor*e.store.Usual())
+	return max(leastOverdue, overdueFactor*e.store.TypicalLatency())
 }
 
 // writing is a transaction that can take effect only once, on its way.
@@ -99,7 +99,7 @@
 		case err == nil && !w.entry.storeSlow():
 			_, err = w.entry.store.Commit(ctx, w.tx)
 		case err == nil:
-			err = fmt.Errorf("%w: overdue, and not there yet", store.ErrUnknown)
+			err = fmt.Errorf("%w: overdue, and not there yet", store.ErrOutcomeUnknown)
 		}
 		w.answer(ctx, err)
 	}()
--- a/internal/host/leader/election_test.go
+++ b/internal/host/leader/election_test.go
@@ -114,9 +114,9 @@
 		return ctx.Err()
 	}
 	draw := rand.New(rand.NewPCG(seed, 2)).Int64N
-	gauge := store.NewGauge(s.link, leader.RowKey, func(up bool, _ error) { s.StoreChanged(up) })
+	gauge := store.NewMonitor(s.link, leader.RowKey, func(up bool, _ error) { s.StoreChanged(up) })
 	s.Election = leader.New(gauge, peers, lead, name+"#1", name, logr.Discard(), leader.WithClock(time.Now), leader.WithDraw(draw), leader.WithPower(1))
-	go gauge.Follow(ctx)
+	go gauge.Run(ctx)
 	go func() {
 		s.Run(ctx)
 		close(s.over)
--- a/internal/host/leader/succession.go
+++ b/internal/host/leader/succession.go
@@ -86,7 +86,7 @@
 	if err == nil {
 		return res.Version, nil
 	}
-	if !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrUnknown) {
+	if !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrOutcomeUnknown) {
 		return 0, err
 	}
 	found, readErr := store.Get(ctx, e.store, RowKey)
--- a/internal/host/station/config.go
+++ b/internal/host/station/config.go
@@ -27,7 +27,7 @@
 	patience := readTime
 	for ctx.Err() == nil {
 		known := version
-		cut, err := store.UntilRegained(ctx, s.store.Regained(), func(ctx context.Context) (err error) {
+		cut, err := store.RunUntilRecovered(ctx, s.store.Recovered(), func(ctx context.Context) (err error) {
 			if known < 0 {
 				version, err = s.readConfig(ctx, patience)
 			} else {
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	k := s.config.Key
-	rows := store.Range{Table: k.Table, Part: k.Part, From: k.Name, To: k.Name + "\x00"}
+	rows := store.Range{Table: k.Table, Partition: k.Partition, From: k.Name, To: k.Name + "\x00"}
 	if s.config.Evacuated != nil {
 		rows.From, rows.To = "", "" // the evacuated zones stand beside it
 	}
--- a/internal/host/station/station.go
+++ b/internal/host/station/station.go
@@ -59,7 +59,7 @@
 	unready  time.Duration // of it, while the balancer learns of it
 	log      logr.Logger
 	metrics  tally.Scope
-	store    *store.Gauge
+	store    *store.Monitor
 	keeper   *catalog.Keeper
 	zones    *evacuation.Register // of the rows that evacuate zones
 	currency *currency            // of what the keeper has
@@ -114,10 +114,10 @@
 		identity: id, config: c, grace: set.grace, unready: set.unready, log: log, metrics: set.metrics,
 		keeper: catalog.NewKeeper(c.Decode), zones: evacuation.NewRegister(), currency: newCurrency(steady.Now), burn: burn.New(holder),
 	}
-	s.store = store.NewGauge(store.NewCounted(p.Store, set.metrics), leader.RowKey, s.storeChanged)
+	s.store = store.NewMonitor(store.NewInstrumented(p.Store, set.metrics), leader.RowKey, s.storeChanged)
 	desk := []dispatcher.Option{
 		dispatcher.WithCatalog(s.keeper), dispatcher.WithMetrics(set.metrics), dispatcher.WithOutcomes(s.recordOutcome),
-		dispatcher.WithEvacuations(s.Evacuations), dispatcher.WithRegained(s.store.Regained),
+		dispatcher.WithEvacuations(s.Evacuations), dispatcher.WithRegained(s.store.Recovered),
 	}
 	if p.Adviser != nil {
 		desk = append(desk, dispatcher.WithAdviser(p.Adviser))
@@ -125,7 +125,7 @@
 	s.desk = dispatcher.New(s.store, order.NewCounted(p.Line, set.metrics), p.Roster, set.bounds, log, desk...)
 	s.exchange = exchange.New(
 		id.Peers, s.desk, s.keeper, s.store.Up, exchange.WithPower(id.Power), exchange.WithZone(id.Zone), exchange.WithLog(log),
-		exchange.WithStoreAnswered(s.store.Answered),
+		exchange.WithStoreAnswered(s.store.LastSuccess),
 		exchange.WithAdopted(s.adopted), exchange.WithCounted(func() burn.Snapshot { return s.burn.Snapshot(time.Now()) }),
 	)
 	s.net = peer.New(s.exchange.Handle, set.peerTLS, nil, log)
@@ -228,7 +228,7 @@
 	go func() { failed <- s.net.Serve(peers) }()
 	s.log.Info("host starts", "host", s.identity.Name, "zone", s.identity.Zone, "peers", s.identity.Peers)
 	go s.followConfig(life)
-	go s.store.Follow(life)
+	go s.store.Run(life)
 	elected := make(chan struct{})
 	go func() {
 		s.election.Run(ctx)
--- a/internal/platform/store/counted.go
+++ b/internal/platform/store/instrumented.go
@@ -10,8 +10,8 @@
 	"guavaglade.example/guavaglade/internal/report/metrics"
 )
 
-// Counted passes calls on to a store, counts them by outcome and times them.
-type Counted struct {
+// Instrumented passes calls on to a store, counts them by outcome and times them.
+type Instrumented struct {
 	Store
 	calls map[string]*callMetrics
 }
@@ -21,9 +21,9 @@
 	latency                            tally.Histogram
 }
 
-// NewCounted returns a store that counts in the scope.
-func NewCounted(s Store, scope tally.Scope) *Counted {
-	c := &Counted{Store: s, calls: map[string]*callMetrics{}}
+// NewInstrumented returns a store that counts in the scope.
+func NewInstrumented(s Store, scope tally.Scope) *Instrumented {
+	c := &Instrumented{Store: s, calls: map[string]*callMetrics{}}
 	for _, call := range []string{"commit", "read", "changes"} {
 		tagged := scope.Tagged(map[string]string{"call": call})
 		outcome := func(name string) tally.Counter {
@@ -42,7 +42,7 @@
 	switch {
 	case err == nil:
 		m.ok.Inc(1)
-	case errors.Is(err, ErrConflict), errors.Is(err, ErrHistory):
+	case errors.Is(err, ErrConflict), errors.Is(err, ErrCompacted):
 		m.conflict.Inc(1)
 	case errors.Is(err, ErrUnavailable):
 		m.unavailable.Inc(1)
@@ -52,7 +52,7 @@
 }
 
 // Commit implements Store.
-func (c *Counted) Commit(ctx context.Context, tx Tx) (Result, error) {
+func (c *Instrumented) Commit(ctx context.Context, tx Tx) (Result, error) {
 	began := time.Now()
 	res, err := c.Store.Commit(ctx, tx)
 	c.calls["commit"].note(began, err)
@@ -60,7 +60,7 @@
 }
 
 // Read implements Store.
-func (c *Counted) Read(ctx context.Context, r Range) (Page, error) {
+func (c *Instrumented) Read(ctx context.Context, r Range) (Page, error) {
 	began := time.Now()
 	page, err := c.Store.Read(ctx, r)
 	c.calls["read"].note(began, err)
@@ -68,7 +68,7 @@
 }
 
 // Changes implements Store.
-func (c *Counted) Changes(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
+func (c *Instrumented) Changes(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
 	began := time.Now()
 	page, err := c.Store.Changes(ctx, table, after, wait)
 	c.calls["changes"].note(began, err)
--- a/internal/platform/store/gauge.go
+++ b/internal/platform/store/monitor.go
@@ -27,10 +27,10 @@
 	usualWeight = 0.3
 )
 
-// Gauge passes calls on to a store and watches how they go, so that a host
+// Monitor passes calls on to a store and watches how they go, so that a host
 // knows at once that the store does not serve it, and does not have each of its
 // clients wait for the same time-out.
-type Gauge struct {
+type Monitor struct {
 	Store
 	probe   Key // that is read to see whether the store answers
 	mu      sync.Mutex
@@ -42,47 +42,47 @@
 	changed func(up bool, err error)
 }
 
-// NewGauge returns a gauge over a store that counts as up. The key is read to see
+// NewMonitor returns a gauge over a store that counts as up. The key is read to see
 // whether the store answers. changed is told when it goes down or comes up; it must
 // not block.
-func NewGauge(s Store, probe Key, changed func(up bool, err error)) *Gauge {
-	return &Gauge{Store: s, probe: probe, lost: make(chan struct{}, 1), back: make(chan struct{}), changed: changed}
+func NewMonitor(s Store, probe Key, changed func(up bool, err error)) *Monitor {
+	return &Monitor{Store: s, probe: probe, lost: make(chan struct{}, 1), back: make(chan struct{}), changed: changed}
 }
 
 // Up reports whether the store serves this host, as far as is known.
-func (g *Gauge) Up() bool {
+func (g *Monitor) Up() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.fails < gaugeFails
 }
 
-// Answered returns when a call went well last.
-func (g *Gauge) Answered() time.Time {
+// LastSuccess returns when a call went well last.
+func (g *Monitor) LastSuccess() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.served
 }
 
-// Regained returns a channel that is closed when the store comes up next. A call that
+// Recovered returns a channel that is closed when the store comes up next. A call that
 // was on its way through an outage may hang until its time-out; what waits for it does
 // well to ask anew.
-func (g *Gauge) Regained() <-chan struct{} {
+func (g *Monitor) Recovered() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.back
 }
 
-// Usual returns what calls took lately that went well; 0 if there was none.
-func (g *Gauge) Usual() time.Duration {
+// TypicalLatency returns what calls took lately that went well; 0 if there was none.
+func (g *Monitor) TypicalLatency() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.usual
 }
 
-// Follow asks the store whether it is there when nothing was heard of it for a
+// Run asks the store whether it is there when nothing was heard of it for a
 // while, and at once when it seems to have gone down: of a store that only loses
 // answers that is not so. It ends with the context.
-func (g *Gauge) Follow(ctx context.Context) {
+func (g *Monitor) Run(ctx context.Context) {
 	for wait := quietTime; ; wait = g.rest() {
 		select {
 		case <-ctx.Done():
@@ -97,7 +97,7 @@
 }
 
 // ask asks once, and a second time at once if that fails.
-func (g *Gauge) ask(ctx context.Context) {
+func (g *Monitor) ask(ctx context.Context) {
 	for range gaugeFails {
 		try, cancel := context.WithTimeout(ctx, probeTime)
 		_, err := Get(try, g, g.probe)
@@ -109,14 +109,14 @@
 }
 
 // due reports whether the store was not heard of for long.
-func (g *Gauge) due() bool {
+func (g *Monitor) due() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.fails > 0 || time.Since(g.served) >= quietTime
 }
 
 // rest returns how long to wait until the next question may be due.
-func (g *Gauge) rest() time.Duration {
+func (g *Monitor) rest() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.fails > 0 {
@@ -128,8 +128,8 @@
 // note takes in how a call went. Conflicts and a lost history are answers; a
 // call that its own caller gave up on says nothing. A call that waits for changes
 // has no beginning: how long it takes is not up to the store.
-func (g *Gauge) note(ctx context.Context, began time.Time, err error) {
-	failed := errors.Is(err, ErrUnavailable) || errors.Is(err, ErrUnknown)
+func (g *Monitor) note(ctx context.Context, began time.Time, err error) {
+	failed := errors.Is(err, ErrUnavailable) || errors.Is(err, ErrOutcomeUnknown)
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
@@ -161,7 +161,7 @@
 }
 
 // Commit implements Store.
-func (g *Gauge) Commit(ctx context.Context, tx Tx) (Result, error) {
+func (g *Monitor) Commit(ctx context.Context, tx Tx) (Result, error) {
 	began := time.Now()
 	res, err := g.Store.Commit(ctx, tx)
 	g.note(ctx, began, err)
@@ -169,7 +169,7 @@
 }
 
 // Read implements Store.
-func (g *Gauge) Read(ctx context.Context, r Range) (Page, error) {
+func (g *Monitor) Read(ctx context.Context, r Range) (Page, error) {
 	began := time.Now()
 	page, err := g.Store.Read(ctx, r)
 	g.note(ctx, began, err)
@@ -177,7 +177,7 @@
 }
 
 // Changes implements Store.
-func (g *Gauge) Changes(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
+func (g *Monitor) Changes(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
 	page, err := g.Store.Changes(ctx, table, after, wait)
 	g.note(ctx, time.Time{}, err)
 	return page, err
--- a/internal/platform/store/gauge_test.go
+++ b/internal/platform/store/monitor_test.go
@@ -18,26 +18,26 @@
 
 var (
 	ctx  = context.Background()
-	key  = store.Key{Table: "t", Part: "p", Name: "n"}
-	full = store.Range{Table: "t", Part: "p"}
+	key  = store.Key{Table: "t", Partition: "p", Name: "n"}
+	full = store.Range{Table: "t", Partition: "p"}
 )
 
 type watched struct {
-	*store.Gauge
+	*store.Monitor
 	link    *rows.Link
 	changes []bool
 }
 
 func newWatched() *watched {
 	w := &watched{link: rows.NewLink(rows.New(cost), rand.New(rand.NewPCG(1, 1)))}
-	w.Gauge = store.NewGauge(w.link, key, func(up bool, _ error) { w.changes = append(w.changes, up) })
+	w.Monitor = store.NewMonitor(w.link, key, func(up bool, _ error) { w.changes = append(w.changes, up) })
 	return w
 }
 
 // follow has the gauge ask by itself until the function that it returns is called.
 func (w *watched) follow() (end func()) {
 	following, end := context.WithCancel(ctx)
-	go w.Follow(following)
+	go w.Run(following)
 	return end
 }
 
@@ -117,7 +117,7 @@
 		w.link.Set(rows.Trouble{Lose: 1})
 		for range 3 {
 			_, err := w.Commit(ctx, store.Tx{Put: []store.Put{{Key: key, Value: []byte("x")}}})
-			is.True(errors.Is(err, store.ErrUnknown))
+			is.True(errors.Is(err, store.ErrOutcomeUnknown))
 		}
 		time.Sleep(3 * cost)
 		is.True(w.Up())
@@ -129,15 +129,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWatched()
-		is.Equal(w.Usual(), time.Duration(0))
+		is.Equal(w.TypicalLatency(), time.Duration(0))
 		for range 20 {
 			is.NoErr(w.read())
 		}
-		is.True(w.Usual() < 2*cost)
+		is.True(w.TypicalLatency() < 2*cost)
 		w.link.Set(rows.Trouble{Slow: 300 * time.Millisecond})
 		for range 5 {
 			is.NoErr(w.read())
 		}
-		is.True(w.Usual() > 200*time.Millisecond)
+		is.True(w.TypicalLatency() > 200*time.Millisecond)
 	})
 }
--- a/internal/platform/store/store.go
+++ b/internal/platform/store/store.go
@@ -14,11 +14,11 @@
 	// ErrUnavailable says that the store refused or was not reached before
 	// anything was sent; nothing was written.
 	ErrUnavailable = errors.New("store unavailable")
-	// ErrUnknown says that no answer came; a write may have taken effect, and
+	// ErrOutcomeUnknown says that no answer came; a write may have taken effect, and
 	// may still take effect.
-	ErrUnknown = errors.New("outcome not known")
-	// ErrHistory says that the feed no longer has the changes asked for.
-	ErrHistory = errors.New("history not available")
+	ErrOutcomeUnknown = errors.New("outcome not known")
+	// ErrCompacted says that the feed no longer has the changes asked for.
+	ErrCompacted = errors.New("history not available")
 )
 
 // Bounds of one transaction.
@@ -29,9 +29,9 @@
 
 // Key names a row.
 type Key struct {
-	Table string
-	Part  string // may be empty
-	Name  string
+	Table     string
+	Partition string // may be empty
+	Name      string
 }
 
 // Row is a row as it was read.
@@ -69,9 +69,9 @@
 
 // Range is what to read: names from From on and before To.
 type Range struct {
-	Table, Part string
-	From, To    string // empty: no bound
-	Limit       int    // 0: as many as the store gives
+	Table, Partition string
+	From, To         string // empty: no bound
+	Limit            int    // 0: as many as the store gives
 }
 
 // Page is an answer about rows.
@@ -89,7 +89,7 @@
 	// Read returns a page of rows as of one moment.
 	Read(ctx context.Context, r Range) (Page, error)
 	// Changes returns what changed in a table after a version, waiting at most
-	// so long for the first change. It returns ErrHistory if that is no longer
+	// so long for the first change. It returns ErrCompacted if that is no longer
 	// known.
 	Changes(ctx context.Context, table string, after int64, wait time.Duration) (Page, error)
 }
@@ -117,7 +117,7 @@
 
 // Get returns one row, with version 0 if it is not there.
 func Get(ctx context.Context, s Store, k Key) (Row, error) {
-	page, err := s.Read(ctx, Range{Table: k.Table, Part: k.Part, From: k.Name, To: k.Name + "\x00", Limit: 1})
+	page, err := s.Read(ctx, Range{Table: k.Table, Partition: k.Partition, From: k.Name, To: k.Name + "\x00", Limit: 1})
 	if err != nil {
 		return Row{}, err
 	}
--- a/internal/proof/deployment/rig_test.go
+++ b/internal/proof/deployment/rig_test.go
@@ -123,14 +123,14 @@
 	log := r.logger(name)
 	h.link = rows.NewLink(r.table, rand.New(rand.NewPCG(r.rnd.Uint64(), 2)))
 	h.line = pool.NewLine(r.shared, time.Millisecond, rand.New(rand.NewPCG(r.rnd.Uint64(), 3)))
-	gauge := store.NewGauge(h.link, leader.RowKey, func(up bool, err error) { log.Info("store", "serves", up, "error", fmt.Sprint(err)) })
+	gauge := store.NewMonitor(h.link, leader.RowKey, func(up bool, err error) { log.Info("store", "serves", up, "error", fmt.Sprint(err)) })
 	desk := dispatcher.New(gauge, h.line, r.shared, dispatch.DefaultBounds(), log, dispatcher.WithClock(time.Now))
 	x := exchange.New(h.address, desk, catalog.NewKeeper(nil), gauge.Up, exchange.WithPower(1))
 	h.net = peer.New(x.Handle, nil, r.wires.dial(h.address), logr.Discard())
 	h.election = leader.New(gauge, x, desk.Lead, fmt.Sprintf("%s#%d", name, life), h.address, log, leader.WithClock(time.Now), leader.WithDraw(r.draw()))
 	h.entry = entry.New(gauge, x, x, log)
 	x.Bind(h.net, h.election, h.entry)
-	go gauge.Follow(ctx)
+	go gauge.Run(ctx)
 	listener := r.wires.listen(h.address)
 	go func() { _ = h.net.Serve(listener) }()
 	go func() {
@@ -221,7 +221,7 @@
 	r.nextID++
 	return &graph.Job{
 		ID: graph.JobID(fmt.Sprintf("%016x", r.nextID)), Queue: "q", Service: service, Account: "kiosks", Priority: priority,
-		MaxAttempts: 3, Slack: 3, Allowance: time.Second, Spec: "spec", Steps: steps, AcceptedAt: time.Now().UnixMilli(),
+		MaxAttempts: 3, SlackFactor: 3, Allowance: time.Second, Spec: "spec", Steps: steps, AcceptedAt: time.Now().UnixMilli(),
 	}
 }
 
--- a/internal/proof/deployment/target_test.go
+++ b/internal/proof/deployment/target_test.go
@@ -12,7 +12,9 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-func storeKey(table, name string) store.Key { return store.Key{Table: table, Part: "1", Name: name} }
+func storeKey(table, name string) store.Key {
+	return store.Key{Table: table, Partition: "1", Name: name}
+}
 
 func (r *rig) allLines(f pool.Fault) {
 	for _, h := range r.hosts {
--- a/internal/standin/pool/judge.go
+++ b/internal/standin/pool/judge.go
@@ -24,7 +24,7 @@
 	p.judgeOrder(x)
 	p.judgeCheckpoint(x, checkpoint)
 	w := x.def
-	if limit := w.job.MaxAttempts; !x.step.Lasting && w.failures[x.Task] >= limit {
+	if limit := w.job.MaxAttempts; !x.step.LongRunning && w.failures[x.Task] >= limit {
 		p.breach("BUDGET", x.target, x.Run, fmt.Sprintf("%d failures were acknowledged", w.failures[x.Task]))
 	}
 	if !w.cancelled.IsZero() && p.now.Sub(w.cancelled) > cancelTime {
@@ -34,7 +34,7 @@
 
 // judgeOnce wants one run of a task at a time, and none after one was done.
 func (p *Pool) judgeOnce(x *exec) {
-	if x.step.Copies {
+	if x.step.Speculative {
 		return
 	}
 	if x.def.noted[x.Task] {
@@ -52,7 +52,7 @@
 // judgeRoom wants the target to have room, and to suit the task.
 func (p *Pool) judgeRoom(x *exec) {
 	t := x.target
-	if !t.used().Plus(x.step.Charge()).Within(t.Capacity) {
+	if !t.used().Plus(x.step.Charge()).FitsIn(t.Capacity) {
 		p.breach("LIMIT", t, x.Run, fmt.Sprintf("%+v are taken of %+v", t.used(), t.Capacity))
 	}
 	if t.Service != x.def.job.Service || !t.Has(x.step.Label) {
--- a/internal/standin/pool/running.go
+++ b/internal/standin/pool/running.go
@@ -75,7 +75,7 @@
 	if done := x.total - x.left; x.step.Checkpointing && done-x.saved >= p.bounds.SaveEvery {
 		x.saved = done
 	}
-	if x.step.Lasting {
+	if x.step.LongRunning {
 		x.left = max(x.left, 1)
 	}
 	if x.failsAtOnce || (x.willFail && x.left <= x.total/2) {
--- a/internal/standin/rows/link.go
+++ b/internal/standin/rows/link.go
@@ -62,10 +62,10 @@
 	}
 	if t.Silent {
 		<-ctx.Done()
-		return fmt.Errorf("stand-in link: %w: %w", store.ErrUnknown, ctx.Err())
+		return fmt.Errorf("stand-in link: %w: %w", store.ErrOutcomeUnknown, ctx.Err())
 	}
 	if err := sleep(ctx, t.Slow); err != nil {
-		return fmt.Errorf("stand-in link: %w: %w", store.ErrUnknown, err)
+		return fmt.Errorf("stand-in link: %w: %w", store.ErrOutcomeUnknown, err)
 	}
 	return nil
 }
@@ -80,11 +80,11 @@
 	}
 	if late < t.Late {
 		time.AfterFunc(t.LateBy, func() { _, _ = l.table.commit(tx) }) // its answer is lost
-		return store.Result{}, fmt.Errorf("stand-in link: %w: %w", store.ErrUnknown, errLost)
+		return store.Result{}, fmt.Errorf("stand-in link: %w: %w", store.ErrOutcomeUnknown, errLost)
 	}
 	res, err := l.table.Commit(ctx, tx)
 	if lose < t.Lose && !errors.Is(err, store.ErrUnavailable) {
-		return store.Result{}, fmt.Errorf("stand-in link: %w: %w", store.ErrUnknown, errLost)
+		return store.Result{}, fmt.Errorf("stand-in link: %w: %w", store.ErrOutcomeUnknown, errLost)
 	}
 	return res, err
 }
--- a/internal/standin/rows/table.go
+++ b/internal/standin/rows/table.go
@@ -39,7 +39,7 @@
 		return store.Result{}, fmt.Errorf("stand-in store: %w: %w", store.ErrUnavailable, err)
 	}
 	if err := sleep(ctx, t.cost); err != nil {
-		return store.Result{}, fmt.Errorf("stand-in store: %w: %w", store.ErrUnknown, err)
+		return store.Result{}, fmt.Errorf("stand-in store: %w: %w", store.ErrOutcomeUnknown, err)
 	}
 	return t.commit(tx)
 }
@@ -52,14 +52,14 @@
 	}
 	bytes, parts := 0, map[string]bool{}
 	for _, e := range tx.Expect {
-		parts[e.Key.Part] = true
+		parts[e.Key.Partition] = true
 	}
 	for _, p := range tx.Put {
-		parts[p.Key.Part] = true
+		parts[p.Key.Partition] = true
 		bytes += len(p.Value)
 	}
 	for _, k := range tx.Remove {
-		parts[k.Part] = true
+		parts[k.Partition] = true
 	}
 	if bytes > store.MaxBytes || len(parts) > 1 {
 		return fmt.Errorf("%d bytes in %d parts", bytes, len(parts))
@@ -123,13 +123,13 @@
 // Read implements store.Store.
 func (t *Table) Read(ctx context.Context, r store.Range) (store.Page, error) {
 	if err := sleep(ctx, t.cost); err != nil {
-		return store.Page{}, fmt.Errorf("stand-in store: %w: %w", store.ErrUnknown, err)
+		return store.Page{}, fmt.Errorf("stand-in store: %w: %w", store.ErrOutcomeUnknown, err)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	page := store.Page{Version: t.version}
 	for k, row := range t.rows {
-		if k.Table == r.Table && k.Part == r.Part && k.Name >= r.From && (r.To == "" || k.Name < r.To) {
+		if k.Table == r.Table && k.Partition == r.Partition && k.Name >= r.From && (r.To == "" || k.Name < r.To) {
 			page.Rows = append(page.Rows, row)
 		}
 	}
@@ -151,7 +151,7 @@
 // Changes implements store.Store.
 func (t *Table) Changes(ctx context.Context, table string, after int64, wait time.Duration) (store.Page, error) {
 	if err := sleep(ctx, t.cost); err != nil {
-		return store.Page{}, fmt.Errorf("stand-in store: %w: %w", store.ErrUnknown, err)
+		return store.Page{}, fmt.Errorf("stand-in store: %w: %w", store.ErrOutcomeUnknown, err)
 	}
 	timeout := time.After(wait)
 	for {
@@ -164,7 +164,7 @@
 		case <-timeout:
 			return page, nil
 		case <-ctx.Done():
-			return store.Page{}, fmt.Errorf("stand-in store: %w: %w", store.ErrUnknown, ctx.Err())
+			return store.Page{}, fmt.Errorf("stand-in store: %w: %w", store.ErrOutcomeUnknown, ctx.Err())
 		}
 	}
 }
@@ -173,7 +173,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if after < t.oldest {
-		return store.Page{}, nil, fmt.Errorf("stand-in store: %w", store.ErrHistory)
+		return store.Page{}, nil, fmt.Errorf("stand-in store: %w", store.ErrCompacted)
 	}
 	page := store.Page{Version: t.version}
 	for _, r := range t.feed {
--- a/internal/work/dispatch/advice.go
+++ b/internal/work/dispatch/advice.go
@@ -69,7 +69,7 @@
 			if len(names) == mostNamed || s.permits.barred[t.ID] || s.permitted(t, now) || !s.couldSuit(t, now) {
 				continue
 			}
-			if s.spec.Charge().Within(t.room()) == withRoom {
+			if s.spec.Charge().FitsIn(t.room()) == withRoom {
 				names = append(names, t.ID)
 			}
 		}
--- a/internal/work/dispatch/arriving.go
+++ b/internal/work/dispatch/arriving.go
@@ -90,17 +90,17 @@
 
 func (m *Machine) resumeStep(s *step, k *progress.Step, now time.Time) {
 	if s.spec.Gang {
-		s.tried.failed, s.saved = k.Failures[0], k.Saved[0]
+		s.tried.failed, s.saved = k.FailedRuns[0], k.Checkpoints[0]
 	}
-	placed := map[int][]progress.Place{}
-	for _, p := range k.Placed {
+	placed := map[int][]progress.Placement{}
+	for _, p := range k.Placements {
 		placed[p.Task] = append(placed[p.Task], p)
 	}
 	for _, x := range s.tasks {
 		if !s.spec.Gang {
-			x.own.failed, x.saved = k.Failures[x.index], k.Saved[x.index]
+			x.own.failed, x.saved = k.FailedRuns[x.index], k.Checkpoints[x.index]
 		}
-		x.highest = k.Runs[x.index]
+		x.highest = k.LastRuns[x.index]
 		for _, p := range placed[x.index] {
 			x.highest = max(x.highest, p.Run)
 		}
@@ -118,7 +118,7 @@
 
 // inherit takes over a run that an earlier leader noted. It exists until its
 // target reports without it, or its leases have lapsed.
-func (m *Machine) inherit(x *task, p progress.Place, now time.Time) {
+func (m *Machine) inherit(x *task, p progress.Placement, now time.Time) {
 	t := m.targets[p.Target]
 	if t == nil { // Listed tells the rest, if it is still there
 		t = m.addTarget(roster.Target{ID: p.Target})
--- a/internal/work/dispatch/backlog_test.go
+++ b/internal/work/dispatch/backlog_test.go
@@ -18,7 +18,7 @@
 	step.Estimate = 5 * time.Second
 	j := &graph.Job{
 		ID: graph.JobID(fmt.Sprintf("%016x", n)), Queue: "q", Service: "s", Account: "a", Priority: priority, MaxAttempts: 3,
-		Slack: 3, Allowance: time.Second, AcceptedAt: d.now.UnixMilli(), Steps: []graph.Step{step},
+		SlackFactor: 3, Allowance: time.Second, AcceptedAt: d.now.UnixMilli(), Steps: []graph.Step{step},
 	}
 	d.p.Submit(j, pool.Behaviour{Work: func(graph.TaskID) time.Duration { return 5 * time.Second }})
 	return j
--- a/internal/work/dispatch/clearing.go
+++ b/internal/work/dispatch/clearing.go
@@ -198,7 +198,7 @@
 		return offer{}
 	}
 	free := c.free(t)
-	if c.charge.Within(free) {
+	if c.charge.FitsIn(free) {
 		return offer{ok: true}
 	}
 	var list []victim
@@ -208,7 +208,7 @@
 		}
 		list = append(list, v)
 		free = free.Plus(v.run.charge)
-		if c.charge.Within(free) {
+		if c.charge.FitsIn(free) {
 			return c.prune(list, free)
 		}
 	}
@@ -219,7 +219,7 @@
 func (c *clearing) prune(list []victim, free graph.Resources) offer {
 	o := offer{ok: true}
 	for i := len(list) - 1; i >= 0; i-- {
-		if less := free.Minus(list[i].run.charge); c.charge.Within(less) {
+		if less := free.Minus(list[i].run.charge); c.charge.FitsIn(less) {
 			free = less
 			continue
 		}
@@ -238,7 +238,7 @@
 	var list []victim
 	for _, r := range t.sortedRuns() {
 		s := r.task.step
-		if (r.phase == running || r.phase == starting) && s.job.spec.Priority > 0 && !s.spec.Lasting && !s.job.spec.Once {
+		if (r.phase == running || r.phase == starting) && s.job.spec.Priority > 0 && !s.spec.LongRunning && !s.job.spec.AtMostOnce {
 			list = append(list, victim{run: r, loss: m.lossOf(r, now)})
 		}
 	}
--- a/internal/work/dispatch/drive_test.go
+++ b/internal/work/dispatch/drive_test.go
@@ -202,10 +202,10 @@
 	d.nextID++
 	j := &graph.Job{
 		ID: graph.JobID(fmt.Sprintf("%016x", d.nextID)), Queue: "q", Service: "s", Account: "a", Priority: priority,
-		MaxAttempts: 3, Slack: 3, Allowance: time.Second, Steps: steps, AcceptedAt: d.now.UnixMilli(),
+		MaxAttempts: 3, SlackFactor: 3, Allowance: time.Second, Steps: steps, AcceptedAt: d.now.UnixMilli(),
 	}
 	if priority == 0 {
-		j.Slack, j.Allowance = 1.5, 250*time.Millisecond
+		j.SlackFactor, j.Allowance = 1.5, 250*time.Millisecond
 	}
 	d.p.Submit(j, pool.Behaviour{Work: func(graph.TaskID) time.Duration { return work }})
 	d.asked[j.ID] = d.now
--- a/internal/work/dispatch/ending.go
+++ b/internal/work/dispatch/ending.go
@@ -59,7 +59,7 @@
 // have begun is over and its task is not done: it must not be started again.
 func (m *Machine) endOnce(r *run, now time.Time) {
 	j := r.task.step.job
-	if !j.spec.Once || r.task.done || j.over() || r.phase == waiting || r.phase == noted {
+	if !j.spec.AtMostOnce || r.task.done || j.over() || r.phase == waiting || r.phase == noted {
 		return
 	}
 	m.log.Decided("job may have run, and is not started again", "job", j.spec.ID, "task", r.Task, "run", r.Number)
@@ -106,7 +106,7 @@
 	if s.job.over() || x.done {
 		return false
 	}
-	if e.How == order.Done && !s.spec.Lasting {
+	if e.How == order.Done && !s.spec.LongRunning {
 		if r != nil {
 			t.health.Succeeded(r.beganAt, now)
 		}
@@ -114,7 +114,7 @@
 		return true
 	}
 	saved := x.keep(e.Checkpoint)
-	if e.How == order.Failed && !s.spec.Lasting {
+	if e.How == order.Failed && !s.spec.LongRunning {
 		m.failure(x, t, r, e.Run.Number, now)
 		return true
 	}
@@ -293,7 +293,7 @@
 		reason = "its job has ended"
 	case x.done:
 		reason = "its task is done"
-	case len(x.runs) > 0 && !x.step.spec.Copies:
+	case len(x.runs) > 0 && !x.step.spec.Speculative:
 		reason = "its task runs elsewhere"
 	case x.step.blocked > 0:
 		reason = "its step is not due"
--- a/internal/work/dispatch/fit.go
+++ b/internal/work/dispatch/fit.go
@@ -39,7 +39,7 @@
 	var bestFit fit
 	m.considered += len(m.byID)
 	for _, t := range m.byID {
-		if !s.suits(t, now) || x.barred(t, now) || m.heldFor(t, s) || !charge.Within(t.room()) || s.spread(t) <= 0 {
+		if !s.suits(t, now) || x.barred(t, now) || m.heldFor(t, s) || !charge.FitsIn(t.room()) || s.spread(t) <= 0 {
 			continue
 		}
 		if f := m.fitOf(x, t, t.room(), now); best == nil || f.compare(bestFit) < 0 {
--- a/internal/work/dispatch/gang.go
+++ b/internal/work/dispatch/gang.go
@@ -209,7 +209,7 @@
 	for _, n := range p.full {
 		o := n.step
 		alike := o.job.spec.Service == s.job.spec.Service && o.spec.Label == s.spec.Label && o.spec.DataRack == s.spec.DataRack && o.spec.SameRack == s.spec.SameRack
-		if alike && (n.slower || !slower) && len(o.tasks) <= len(s.tasks) && o.spec.Charge().Within(s.spec.Charge()) {
+		if alike && (n.slower || !slower) && len(o.tasks) <= len(s.tasks) && o.spec.Charge().FitsIn(s.spec.Charge()) {
 			return true
 		}
 	}
@@ -239,7 +239,7 @@
 		best := -1
 		var bestFit fit
 		for i, t := range targets {
-			if slots[i] <= 0 || !charge.Within(room[i]) {
+			if slots[i] <= 0 || !charge.FitsIn(room[i]) {
 				continue
 			}
 			if f := m.fitOf(x, t, room[i], now); best < 0 || f.compare(bestFit) < 0 {
@@ -269,7 +269,7 @@
 		need[r.target] = need[r.target].Plus(r.charge)
 	}
 	for t, n := range need {
-		if !n.Within(t.Capacity.Minus(t.used)) {
+		if !n.FitsIn(t.Capacity.Minus(t.used)) {
 			return false
 		}
 	}
--- a/internal/work/dispatch/lasting.go
+++ b/internal/work/dispatch/lasting.go
@@ -11,7 +11,7 @@
 	}
 	for _, r := range t.sortedRuns() {
 		s := r.task.step
-		if r.phase != running || !s.spec.Lasting || s.job.over() || s.away() >= max(s.spec.MaxUnavailable, 1) {
+		if r.phase != running || !s.spec.LongRunning || s.job.over() || s.away() >= max(s.spec.MaxUnavailable, 1) {
 			continue
 		}
 		if other := m.choose(r.task, now); other != nil && other != t {
--- a/internal/work/dispatch/once_test.go
+++ b/internal/work/dispatch/once_test.go
@@ -19,7 +19,7 @@
 	is := is.New(t)
 	d := newDrive(t, 1, 2, DefaultBounds())
 	j := one("00000000000000da", 1)
-	j.Once, j.AcceptedAt = true, d.now.UnixMilli()
+	j.AtMostOnce, j.AcceptedAt = true, d.now.UnixMilli()
 	d.p.Submit(j, pool.Behaviour{Work: func(graph.TaskID) time.Duration { return 5 * time.Second }})
 	d.asked[j.ID] = d.now
 	d.m.Accept(j, d.now)
@@ -38,7 +38,7 @@
 	s := newStanding()
 	id := graph.JobID("00000000000000db")
 	j := one(id, 1)
-	j.Once = true
+	j.AtMostOnce = true
 	s.Accept(j, s.now)
 	s.Begin(s.now, s.now)
 	s.report(order.Report{})
@@ -57,7 +57,7 @@
 	is := is.New(t)
 	s := newStanding()
 	j := one("00000000000000dc", 1)
-	j.Once = true
+	j.AtMostOnce = true
 	s.Accept(j, s.now)
 	s.Begin(s.now, s.now)
 	s.report(order.Report{})
--- a/internal/work/dispatch/pacing.go
+++ b/internal/work/dispatch/pacing.go
@@ -46,7 +46,7 @@
 		return
 	}
 	for _, r := range t.sortedRuns() {
-		if r.phase != running || !r.task.step.spec.Filling {
+		if r.phase != running || !r.task.step.spec.BestEffortCPU {
 			continue
 		}
 		if want := pacedTo(r.share, strain); want != r.share {
@@ -90,7 +90,7 @@
 func (t *target) shares() bool {
 	fills := false
 	for _, r := range t.runs {
-		fills = fills || r.task.step.spec.Filling
+		fills = fills || r.task.step.spec.BestEffortCPU
 	}
 	_, serves := t.strain()
 	return fills && serves
@@ -117,7 +117,7 @@
 
 // shareOf returns the share at which a run that was found is thought to work.
 func shareOf(s *step) int {
-	if s.spec.Filling {
+	if s.spec.BestEffortCPU {
 		return shareFound
 	}
 	return 100
@@ -129,7 +129,7 @@
 	n := 0
 	for _, r := range t.runs {
 		o := r.task.step.spec
-		if (s.spec.Filling && o.TailLimit > 0) || (s.spec.TailLimit > 0 && o.Filling) {
+		if (s.spec.BestEffortCPU && o.TailLimit > 0) || (s.spec.TailLimit > 0 && o.BestEffortCPU) {
 			n++
 		}
 	}
--- a/internal/work/dispatch/pacing_test.go
+++ b/internal/work/dispatch/pacing_test.go
@@ -29,8 +29,8 @@
 	s := newStanding()
 	serves, fills := graph.JobID("00000000000000ca"), graph.JobID("00000000000000cb")
 	a, b := one(serves, 1), one(fills, 1)
-	a.Steps[0].Lasting, a.Steps[0].TailLimit = true, 100*time.Millisecond
-	b.Steps[0].Filling = true
+	a.Steps[0].LongRunning, a.Steps[0].TailLimit = true, 100*time.Millisecond
+	b.Steps[0].BestEffortCPU = true
 	s.Restore(a, nil, 0, false, s.now)
 	s.Restore(b, nil, 0, false, s.now)
 	s.Begin(s.now, s.now)
@@ -57,8 +57,8 @@
 	s := newStanding()
 	serves, fills := graph.JobID("00000000000000cc"), graph.JobID("00000000000000cd")
 	a, b := one(serves, 1), one(fills, 1)
-	a.Steps[0].Lasting, a.Steps[0].TailLimit = true, 100*time.Millisecond
-	b.Steps[0].Filling = true
+	a.Steps[0].LongRunning, a.Steps[0].TailLimit = true, 100*time.Millisecond
+	b.Steps[0].BestEffortCPU = true
 	s.Restore(a, nil, 0, false, s.now)
 	s.Restore(b, nil, 0, false, s.now)
 	s.Begin(s.now, s.now)
@@ -79,7 +79,7 @@
 	is := is.New(t)
 	d := newDrive(t, 1, 3, DefaultBounds())
 	s := small(6)
-	s.Lasting, s.MaxUnavailable, s.PerTarget = true, 1, 3
+	s.LongRunning, s.MaxUnavailable, s.PerTarget = true, 1, 3
 	id := d.submit(2, time.Hour, s)
 	d.run(time.Second)
 	for _, x := range d.m.byID { // the stand-in's lasting tasks serve at once
--- a/internal/work/dispatch/restore_test.go
+++ b/internal/work/dispatch/restore_test.go
@@ -77,7 +77,7 @@
 	is := is.New(t)
 	s := newStanding()
 	id := graph.JobID("00000000000000ab")
-	failed := &progress.Step{Failures: map[int][]int{0: {1}}, Runs: map[int]int{0: 1}}
+	failed := &progress.Step{FailedRuns: map[int][]int{0: {1}}, LastRuns: map[int]int{0: 1}}
 	s.Restore(one(id, 1), &progress.Job{State: progress.Queued, Steps: map[string]*progress.Step{"0.0": failed}}, 5, false, s.now)
 	s.Begin(s.now, s.now)
 	s.report(order.Report{Ended: []order.Ended{{Number: 1, Run: run1(id, 0, 1), How: order.Failed}}})
@@ -117,7 +117,7 @@
 	is := is.New(t)
 	s := newStanding()
 	id := graph.JobID("00000000000000ad")
-	placed := &progress.Step{Placed: []progress.Place{{Target: "t1", Run: 1}}, Runs: map[int]int{0: 1}}
+	placed := &progress.Step{Placements: []progress.Placement{{Target: "t1", Run: 1}}, LastRuns: map[int]int{0: 1}}
 	s.Restore(one(id, 1), &progress.Job{State: progress.Queued, Steps: map[string]*progress.Step{"0.0": placed}}, 5, false, s.now)
 	s.Begin(s.now.Add(6*time.Second), s.now)
 	is.Equal(len(s.saves()), 0) // nothing is placed before the report
@@ -140,7 +140,7 @@
 	is := is.New(t)
 	s := newStanding()
 	id := graph.JobID("00000000000000ae")
-	placed := &progress.Step{Placed: []progress.Place{{Target: "gone", Run: 3}}, Runs: map[int]int{0: 3}}
+	placed := &progress.Step{Placements: []progress.Placement{{Target: "gone", Run: 3}}, LastRuns: map[int]int{0: 3}}
 	s.Restore(one(id, 1), &progress.Job{State: progress.Queued, Steps: map[string]*progress.Step{"0.0": placed}}, 5, false, s.now)
 	end := s.now.Add(6 * time.Second)
 	s.Begin(end, s.now)
--- a/internal/work/dispatch/save.go
+++ b/internal/work/dispatch/save.go
@@ -77,10 +77,10 @@
 	k := &progress.Step{}
 	empty := len(s.tried.failed) == 0 && s.saved == ""
 	if len(s.tried.failed) > 0 {
-		k.Failures = map[int][]int{0: s.tried.failed}
+		k.FailedRuns = map[int][]int{0: s.tried.failed}
 	}
 	if s.saved != "" {
-		k.Saved = map[int]string{0: s.saved}
+		k.Checkpoints = map[int]string{0: s.saved}
 	}
 	for _, t := range s.tasks {
 		switch {
@@ -92,22 +92,22 @@
 			empty = false
 			continue
 		case len(t.own.failed) > 0:
-			k.Failures = put(k.Failures, t.index, t.own.failed)
+			k.FailedRuns = put(k.FailedRuns, t.index, t.own.failed)
 			empty = false
 		}
 		noted := false // the highest run is among those that may exist
 		for _, r := range t.runs {
 			if r.phase != waiting {
-				k.Placed = append(k.Placed, progress.Place{Task: t.index, Target: r.target.ID, Run: r.Number})
+				k.Placements = append(k.Placements, progress.Placement{Task: t.index, Target: r.target.ID, Run: r.Number})
 				noted = noted || r.Number == t.highest
 			}
 		}
 		if t.highest > 0 && !noted {
-			k.Runs = put(k.Runs, t.index, t.highest)
+			k.LastRuns = put(k.LastRuns, t.index, t.highest)
 		}
 		empty = empty && t.highest == 0
 		if t.saved != "" {
-			k.Saved = put(k.Saved, t.index, t.saved)
+			k.Checkpoints = put(k.Checkpoints, t.index, t.saved)
 			empty = false
 		}
 	}
@@ -158,7 +158,7 @@
 // settled tells of a job that came to its end. What its client took back says
 // nothing about service, and a job that recurs or lasts has no time to keep.
 func (m *Machine) settled(j *job, s progress.State) {
-	if s == progress.Cancelled || j.spec.Repeat > 0 || j.spec.Lasting() {
+	if s == progress.Cancelled || j.spec.Repeat > 0 || j.spec.LongRunning() {
 		return
 	}
 	took := time.Duration(j.endedAt-j.spec.AcceptedAt) * time.Millisecond
--- a/internal/work/dispatch/straggler.go
+++ b/internal/work/dispatch/straggler.go
@@ -28,7 +28,7 @@
 // moves those that stand still or run far slower than they would elsewhere.
 func (m *Machine) watch(t *target, now time.Time) {
 	for _, r := range t.sortedRuns() {
-		if r.phase != running || r.task.step.spec.Lasting || r.task.step.job.spec.Once || r.share < 100 || r.task.step.job.over() {
+		if r.phase != running || r.task.step.spec.LongRunning || r.task.step.job.spec.AtMostOnce || r.share < 100 || r.task.step.job.over() {
 			continue
 		}
 		m.vouch(r, now)
@@ -242,7 +242,7 @@
 	if t == nil || t == r.target {
 		return
 	}
-	if !x.step.spec.Copies {
+	if !x.step.spec.Speculative {
 		m.stop(r, why, now)
 		return
 	}
--- a/internal/work/dispatch/trust.go
+++ b/internal/work/dispatch/trust.go
@@ -41,7 +41,7 @@
 
 // vouch takes in that a run which goes on speaks for its target.
 func (m *Machine) vouch(r *run, now time.Time) {
-	if r.vouched || r.phase != running || r.task.step.spec.Lasting || !r.works() {
+	if r.vouched || r.phase != running || r.task.step.spec.LongRunning || !r.works() {
 		return
 	}
 	r.vouched = r.target.health.Survived(r.beganAt, m.worked(r, now), r.task.step.spec.Estimate, now)
--- a/internal/work/graph/graph_test.go
+++ b/internal/work/graph/graph_test.go
@@ -20,16 +20,16 @@
 	step := graph.Step{Count: 2, Needs: graph.Resources{CPU: 100}, Estimate: time.Second}
 	after := step
 	after.After = []int{0}
-	return &graph.Job{ID: id, Slack: 2, Allowance: time.Second, Steps: []graph.Step{step, after}}
+	return &graph.Job{ID: id, SlackFactor: 2, Allowance: time.Second, Steps: []graph.Step{step, after}}
 }
 
 // Each way in which a job cannot be accepted has its own words.
 func TestCheck(t *testing.T) {
 	is := is.New(t)
-	is.NoErr(sound().Check())
+	is.NoErr(sound().Validate())
 	for want, spoil := range map[string]func(j *graph.Job){
 		"hexadecimal":     func(j *graph.Job) { j.ID = "x" },
-		"spec":            func(j *graph.Job) { j.Spec = strings.Repeat("x", graph.MaxSpec+1) },
+		"spec":            func(j *graph.Job) { j.Spec = strings.Repeat("x", graph.MaxSpecBytes+1) },
 		"0 steps":         func(j *graph.Job) { j.Steps = nil },
 		"occurrences":     func(j *graph.Job) { j.Repeat = graph.MaxOccurrences + 1 },
 		"interval":        func(j *graph.Job) { j.Every = -1 },
@@ -41,7 +41,7 @@
 	} {
 		j := sound()
 		spoil(j)
-		err := j.Check()
+		err := j.Validate()
 		is.True(errors.Is(err, graph.ErrInvalid))
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("%v: want %q in it", err, want)
@@ -74,7 +74,7 @@
 		for i := range j.Steps {
 			want = max(want, chain(j, i))
 		}
-		if got := j.Chain(); got != want {
+		if got := j.CriticalPath(); got != want {
 			rt.Fatalf("chain %v, want %v", got, want)
 		}
 	})
@@ -94,7 +94,7 @@
 
 func ExampleJob_Objective() {
 	j := sound()
-	fmt.Println(j.Chain(), j.Objective())
+	fmt.Println(j.CriticalPath(), j.Objective())
 	// Output: 2s 5s
 }
 
--- a/internal/work/graph/job.go
+++ b/internal/work/graph/job.go
@@ -9,7 +9,7 @@
 // Bounds of what is accepted. They keep one job's rows within the platform's
 // row size and one request within a host's memory.
 const (
-	MaxSpec        = 4000  // bytes of a job's spec, as the interface says
+	MaxSpecBytes   = 4000  // bytes of a job's spec, as the interface says
 	MaxSteps       = 64    // steps of a job
 	MaxTasks       = 4096  // tasks of one occurrence; its progress row stays under 64 KB
 	MaxOccurrences = 10000 // times that a job may recur
@@ -41,8 +41,8 @@
 	return Resources{r.CPU * n, r.MemoryMB * n, r.Accelerators * n}
 }
 
-// Within reports whether r fits into room.
-func (r Resources) Within(room Resources) bool {
+// FitsIn reports whether r fits into room.
+func (r Resources) FitsIn(room Resources) bool {
 	return r.CPU <= room.CPU && r.MemoryMB <= room.MemoryMB && r.Accelerators <= room.Accelerators
 }
 
@@ -58,18 +58,18 @@
 	Label          string        `json:"label,omitempty"`          // that the target must have
 	DataRack       string        `json:"dataRack,omitempty"`       // slower on any other rack
 	PerTarget      int           `json:"perTarget,omitempty"`      // most tasks on one target; 0: no limit
-	Copies         bool          `json:"copies,omitempty"`         // a task may run twice at once
-	Lasting        bool          `json:"lasting,omitempty"`        // runs until the job is cancelled
+	Speculative    bool          `json:"copies,omitempty"`         // a task may run twice at once
+	LongRunning    bool          `json:"lasting,omitempty"`        // runs until the job is cancelled
 	Image          string        `json:"image,omitempty"`          // tasks of one image behave alike
 	TailLimit      time.Duration `json:"tailLimit,omitempty"`      // of a lasting task's response times; 0: none
-	Filling        bool          `json:"filling,omitempty"`        // uses the processor time that others leave
+	BestEffortCPU  bool          `json:"filling,omitempty"`        // uses the processor time that others leave
 	MaxUnavailable int           `json:"maxUnavailable,omitempty"` // tasks that may be away at once by our doing
 }
 
 // Charge returns what a task takes of a target's room: the processor time of a
 // filling task is not counted.
 func (s Step) Charge() Resources {
-	if s.Filling {
+	if s.BestEffortCPU {
 		return Resources{MemoryMB: s.Needs.MemoryMB, Accelerators: s.Needs.Accelerators}
 	}
 	return s.Needs
@@ -83,7 +83,7 @@
 	Account     string        `json:"account,omitempty"` // empty on a public queue
 	Priority    int           `json:"priority,omitempty"`
 	MaxAttempts int           `json:"maxAttempts"`           // failures of a task until the job has failed
-	Slack       float64       `json:"slack,omitempty"`       // objective: so many times its longest chain of work
+	SlackFactor float64       `json:"slack,omitempty"`       // objective: so many times its longest chain of work
 	Allowance   time.Duration `json:"allowance,omitempty"`   // and so much besides
 	Spec        string        `json:"spec,omitempty"`        // handed to each task as it is
 	Steps       []Step        `json:"steps"`                 //
@@ -91,7 +91,7 @@
 	Every       time.Duration `json:"every,omitempty"`       // between occurrences
 	Repeat      int           `json:"repeat,omitempty"`      // occurrences; 0 for a job that does not recur
 	AcceptedAt  int64         `json:"acceptedAt,omitempty"`  // milliseconds since 1970 on the accepting host's clock
-	Once        bool          `json:"once,omitempty"`        // a task whose run may have begun is never started again
+	AtMostOnce  bool          `json:"once,omitempty"`        // a task whose run may have begun is never started again
 	StartBy     int64         `json:"startBy,omitempty"`     // given up if nothing has started by then, in milliseconds since 1970; 0: never
 	Advised     bool          `json:"advised,omitempty"`     // the queue's policy names the targets that may run a step
 	AdviceValid time.Duration `json:"adviceValid,omitempty"` // how long a ticket holds
@@ -109,10 +109,10 @@
 	return n
 }
 
-// Lasting reports whether a step of the job runs until the job is cancelled.
-func (j *Job) Lasting() bool {
+// LongRunning reports whether a step of the job runs until the job is cancelled.
+func (j *Job) LongRunning() bool {
 	for i := range j.Steps {
-		if j.Steps[i].Lasting {
+		if j.Steps[i].LongRunning {
 			return true
 		}
 	}
@@ -128,15 +128,15 @@
 	return j.FirstAt + int64(occurrence)*j.Every.Milliseconds()
 }
 
-// Check returns an error that wraps ErrInvalid if the job cannot be accepted:
+// Validate returns an error that wraps ErrInvalid if the job cannot be accepted:
 // its id is malformed, it is larger than the bounds, or a step depends on one
 // that does not come before it. Negative amounts are refused, too.
-func (j *Job) Check() error {
+func (j *Job) Validate() error {
 	switch {
 	case !j.ID.Valid():
 		return fmt.Errorf("%w: id %q is not 16 hexadecimal digits", ErrInvalid, j.ID)
-	case len(j.Spec) > MaxSpec:
-		return fmt.Errorf("%w: spec of %d bytes, at most %d", ErrInvalid, len(j.Spec), MaxSpec)
+	case len(j.Spec) > MaxSpecBytes:
+		return fmt.Errorf("%w: spec of %d bytes, at most %d", ErrInvalid, len(j.Spec), MaxSpecBytes)
 	case len(j.Steps) == 0 || len(j.Steps) > MaxSteps:
 		return fmt.Errorf("%w: %d steps, 1 to %d", ErrInvalid, len(j.Steps), MaxSteps)
 	case j.Repeat < 0 || j.Repeat > MaxOccurrences:
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// Chain returns the longest chain of estimated work through the steps.
-func (j *Job) Chain() time.Duration {
+// CriticalPath returns the longest chain of estimated work through the steps.
+func (j *Job) CriticalPath() time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	longest := time.Duration(0)
 	for i := range j.Steps {
@@ -189,5 +189,5 @@
 // Objective returns the time within which the job earns its full worth, from
 // its first send or, where it recurs, from an occurrence's time.
 func (j *Job) Objective() time.Duration {
-	return time.Duration(j.Slack*float64(j.Chain())) + j.Allowance
+	return time.Duration(j.SlackFactor*float64(j.CriticalPath())) + j.Allowance
 }
--- a/internal/work/progress/progress_test.go
+++ b/internal/work/progress/progress_test.go
@@ -16,8 +16,8 @@
 	is := is.New(t)
 	j := &progress.Job{State: progress.Running, Started: true, Steps: map[string]*progress.Step{
 		"0.1": {
-			Done: big.NewInt(0b1011), Failures: map[int][]int{2: {1, 4}}, Saved: map[int]string{2: "c"}, Runs: map[int]int{2: 5},
-			Placed: []progress.Place{{Task: 2, Target: "t#1", Run: 5}, {Task: 2, Target: "t#2", Run: 6}, {Task: 4, Target: "t#1", Run: 1}},
+			Done: big.NewInt(0b1011), FailedRuns: map[int][]int{2: {1, 4}}, Checkpoints: map[int]string{2: "c"}, LastRuns: map[int]int{2: 5},
+			Placements: []progress.Placement{{Task: 2, Target: "t#1", Run: 5}, {Task: 2, Target: "t#2", Run: 6}, {Task: 4, Target: "t#1", Run: 1}},
 		},
 	}}
 	b, err := j.Encode()
@@ -33,7 +33,7 @@
 	is := is.New(t)
 	j, err := progress.Decode([]byte(`{"state":"running","steps":{"0.0":{"runs":{"0":2,"3":1},"placed":{"3":{"target":"t#9","run":1},"0":{"target":"t#1","run":2}}}}}`))
 	is.NoErr(err)
-	is.Equal(j.Steps["0.0"].Placed, []progress.Place{{Task: 0, Target: "t#1", Run: 2}, {Task: 3, Target: "t#9", Run: 1}})
+	is.Equal(j.Steps["0.0"].Placements, []progress.Placement{{Task: 0, Target: "t#1", Run: 2}, {Task: 3, Target: "t#9", Run: 1}})
 }
 
 // The row of a step of 78 tasks that run on 20 targets is sent with each end: it must
@@ -43,7 +43,7 @@
 	const tasks, targets, nameBytes = 78, 20, 20
 	s := &progress.Step{}
 	for i := range tasks {
-		s.Placed = append(s.Placed, progress.Place{Task: i, Target: fmt.Sprintf("i-%010x", i%targets), Run: 1})
+		s.Placements = append(s.Placements, progress.Placement{Task: i, Target: fmt.Sprintf("i-%010x", i%targets), Run: 1})
 	}
 	j := &progress.Job{State: progress.Running, Started: true, Steps: map[string]*progress.Step{"0.0": s}}
 	b, err := j.Encode()
--- a/internal/work/progress/step.go
+++ b/internal/work/progress/step.go
@@ -10,22 +10,22 @@
 
 // Step is what is known of a step of one occurrence.
 type Step struct {
-	Done     *big.Int       // bit i: task i is done; nil: none
-	Failures map[int][]int  // numbers of the runs that failed, by task; of a gang under 0
-	Saved    map[int]string // checkpoint by task; of a gang under 0
-	Runs     map[int]int    // highest number of a run, by task that is not done and of which no run may exist
-	Placed   []Place        // runs that may exist
+	Done        *big.Int       // bit i: task i is done; nil: none
+	FailedRuns  map[int][]int  // numbers of the runs that failed, by task; of a gang under 0
+	Checkpoints map[int]string // checkpoint by task; of a gang under 0
+	LastRuns    map[int]int    // highest number of a run, by task that is not done and of which no run may exist
+	Placements  []Placement    // runs that may exist
 }
 
-// Place is where a run of a task may exist.
-type Place struct {
+// Placement is where a run of a task may exist.
+type Placement struct {
 	Task   int
 	Target string // incarnation
 	Run    int
 }
 
 // compare orders places by task and run.
-func (p Place) compare(o Place) int {
+func (p Placement) compare(o Placement) int {
 	return cmp.Or(cmp.Compare(p.Task, o.Task), cmp.Compare(p.Run, o.Run), cmp.Compare(p.Target, o.Target))
 }
 
@@ -45,18 +45,18 @@
 
 // MarshalJSON implements json.Marshaler.
 func (s *Step) MarshalJSON() ([]byte, error) {
-	row := stepRow{Done: s.Done, Failures: s.Failures, Saved: s.Saved, Runs: s.Runs}
-	if len(s.Placed) > 0 {
-		row.Placed = make(map[string][]int, len(s.Placed))
+	row := stepRow{Done: s.Done, Failures: s.FailedRuns, Saved: s.Checkpoints, Runs: s.LastRuns}
+	if len(s.Placements) > 0 {
+		row.Placed = make(map[string][]int, len(s.Placements))
 	}
-	for _, p := range s.Placed {
+	for _, p := range s.Placements {
 		row.Placed[p.Target] = append(row.Placed[p.Target], p.Task, p.Run)
 	}
 	return json.Marshal(row)
 }
 
-// errOddPlaces says that a list of tasks and runs is not one.
-var errOddPlaces = errors.New("progress: places are not pairs of task and run")
+// errMalformedPlacements says that a list of tasks and runs is not one.
+var errMalformedPlacements = errors.New("progress: places are not pairs of task and run")
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (s *Step) UnmarshalJSON(b []byte) error {
@@ -64,18 +64,18 @@
 	if err := json.Unmarshal(b, &row); err != nil {
 		return err
 	}
-	*s = Step{Done: row.Done, Failures: row.Failures, Saved: row.Saved, Runs: row.Runs}
+	*s = Step{Done: row.Done, FailedRuns: row.Failures, Checkpoints: row.Saved, LastRuns: row.Runs}
 	for target, pairs := range row.Placed {
 		if len(pairs)%2 != 0 {
-			return errOddPlaces
+			return errMalformedPlacements
 		}
 		for i := 0; i < len(pairs); i += 2 {
-			s.Placed = append(s.Placed, Place{Task: pairs[i], Target: target, Run: pairs[i+1]})
+			s.Placements = append(s.Placements, Placement{Task: pairs[i], Target: target, Run: pairs[i+1]})
 		}
 	}
 	for task, p := range row.Old {
-		s.Placed = append(s.Placed, Place{Task: task, Target: p.Target, Run: p.Run})
+		s.Placements = append(s.Placements, Placement{Task: task, Target: p.Target, Run: p.Run})
 	}
-	slices.SortFunc(s.Placed, Place.compare)
+	slices.SortFunc(s.Placements, Placement.compare)
 	return nil
 }
--- a/internal/work/request/request.go
+++ b/internal/work/request/request.go
@@ -16,15 +16,15 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// MaxInput is the largest input of a request, in bytes: it is kept with the job.
-const MaxInput = graph.MaxSpec
+// MaxInputBytes is the largest input of a request, in bytes: it is kept with the job.
+const MaxInputBytes = graph.MaxSpecBytes
 
 // Errors of a request.
 var (
 	// ErrInvalid says that a request can never be taken as it is.
 	ErrInvalid = errors.New("invalid request")
-	// ErrUnknown says that the configuration has no such service or job.
-	ErrUnknown = errors.New("not in the configuration")
+	// ErrNotFound says that the configuration has no such service or job.
+	ErrNotFound = errors.New("not in the configuration")
 )
 
 // idForm is what a request id may look like.
@@ -51,27 +51,27 @@
 	if !idForm.MatchString(r.RequestID) {
 		return nil, fmt.Errorf("%w: requestId %q: want 1 to 100 letters, digits and . _ -", ErrInvalid, r.RequestID)
 	}
-	if len(r.Input) > MaxInput {
-		return nil, fmt.Errorf("%w: input of %d bytes, at most %d", ErrInvalid, len(r.Input), MaxInput)
+	if len(r.Input) > MaxInputBytes {
+		return nil, fmt.Errorf("%w: input of %d bytes, at most %d", ErrInvalid, len(r.Input), MaxInputBytes)
 	}
 	s, ok := c.Service(r.Service)
 	if !ok {
-		return nil, fmt.Errorf("%w: service %q", ErrUnknown, r.Service)
+		return nil, fmt.Errorf("%w: service %q", ErrNotFound, r.Service)
 	}
 	k, ok := s.Kind(r.Job)
 	if !ok {
-		return nil, fmt.Errorf("%w: job %q of service %q", ErrUnknown, r.Job, r.Service)
+		return nil, fmt.Errorf("%w: job %q of service %q", ErrNotFound, r.Job, r.Service)
 	}
 	q := version.Queue(s, k)
 	j := &graph.Job{
-		ID: JobID(account, r.RequestID), Account: account, Spec: string(r.Input), Once: !k.Repeatable(),
+		ID: JobID(account, r.RequestID), Account: account, Spec: string(r.Input), AtMostOnce: !k.Repeatable(),
 		AcceptedAt: at.UnixMilli(), Steps: []graph.Step{stepOf(k)},
 	}
 	fill(j, q)
 	if k.StartIn() > 0 {
 		j.StartBy = at.Add(k.StartIn()).UnixMilli()
 	}
-	if err := j.Check(); err != nil {
+	if err := j.Validate(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	return j, nil
@@ -80,7 +80,7 @@
 // fill completes a job with what its queue says.
 func fill(j *graph.Job, q catalog.Queue) {
 	j.Queue, j.Service, j.Priority, j.MaxAttempts = q.Name, q.Service, q.Priority, q.MaxAttempts
-	j.Slack, j.Allowance = q.Slack, q.Allowance
+	j.SlackFactor, j.Allowance = q.Slack, q.Allowance
 }
 
 // stepOf returns the tasks of a kind. Members that must stand on one worker are
--- a/internal/work/request/request_test.go
+++ b/internal/work/request/request_test.go
@@ -59,7 +59,7 @@
 	is.Equal(label.Spec, "x")
 	is.Equal(label.Steps[0].Needs, graph.Resources{CPU: 2000, MemoryMB: 4096, Accelerators: 1})
 	is.Equal(label.Steps[0].Estimate, 3*time.Second)
-	is.True(!label.Steps[0].Gang && !label.Once)
+	is.True(!label.Steps[0].Gang && !label.AtMostOnce)
 
 	plan, err := request.Request{RequestID: "r2", Service: "refill", Job: "plan"}.Resolve(c, "norte", noon)
 	is.NoErr(err)
@@ -70,7 +70,7 @@
 	// Members on one worker are one task with the needs of all.
 	bill, err := request.Request{RequestID: "r3", Service: "refill", Job: "bill"}.Resolve(c, "norte", noon)
 	is.NoErr(err)
-	is.True(bill.Once && !bill.Steps[0].Gang)
+	is.True(bill.AtMostOnce && !bill.Steps[0].Gang)
 	is.Equal(bill.Steps[0].Count, 1)
 	is.Equal(bill.Steps[0].Needs, graph.Resources{CPU: 2000, MemoryMB: 2048, Accelerators: 6})
 	is.Equal(bill.MaxAttempts, 1)
@@ -81,14 +81,14 @@
 	for name, r := range map[string]request.Request{
 		"no request id": {Service: "refill", Job: "label"},
 		"odd id":        {RequestID: "a b", Service: "refill", Job: "label"},
-		"large input":   {RequestID: "a", Service: "refill", Job: "label", Input: []byte(strings.Repeat("x", request.MaxInput+1))},
+		"large input":   {RequestID: "a", Service: "refill", Job: "label", Input: []byte(strings.Repeat("x", request.MaxInputBytes+1))},
 	} {
 		if _, err := r.Resolve(c, "norte", noon); !errors.Is(err, request.ErrInvalid) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	for _, r := range []request.Request{{RequestID: "a", Service: "x", Job: "label"}, {RequestID: "a", Service: "refill", Job: "x"}} {
-		if _, err := r.Resolve(c, "norte", noon); !errors.Is(err, request.ErrUnknown) {
+		if _, err := r.Resolve(c, "norte", noon); !errors.Is(err, request.ErrNotFound) {
 			t.Errorf("%v: %v", r, err)
 		}
 	}
