--- a/internal/config/text/zone.go
+++ b/internal/config/text/zone.go
@@ -80,7 +80,7 @@
 func fitsAny(s shape.Shape, rooms map[string]*shape.Zone) error {
 	var last error
 	for _, zone := range sortedKeys(rooms) {
-		if last = rooms[zone].CanHold(s); last == nil {
+		if last = rooms[zone].CheckFit(s); last == nil {
 			return nil
 		}
 	}
@@ -121,7 +121,7 @@
 func packOneByOne(zone string, room *shape.Zone, ps []promise) {
 	var kept []promise
 	for _, p := range ps {
-		if err := room.CanHold(p.value.Shape); err != nil {
+		if err := room.CheckFit(p.value.Shape); err != nil {
 			p.at.Faultf("", "zone %s: %v", zone, err)
 			continue
 		}
--- a/internal/fleet/evacuation/register.go
+++ b/internal/fleet/evacuation/register.go
@@ -40,8 +40,8 @@
 // NewRegister returns a register that has read nothing yet.
 func NewRegister() *Register { return &Register{} }
 
-// Now returns the status. The caller must not change its zones.
-func (r *Register) Now() Status {
+// Current returns the status. The caller must not change its zones.
+func (r *Register) Current() Status {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.now
@@ -67,7 +67,7 @@
 // Apply takes in the changes up to a time, in their order. It reports whether the
 // zones changed.
 func (r *Register) Apply(changes []Change, asOf time.Time) (changed bool) {
-	zones := slices.Clone(r.Now().Zones)
+	zones := slices.Clone(r.Current().Zones)
 	for _, c := range changes {
 		zones = slices.DeleteFunc(zones, func(z string) bool { return z == c.Zone })
 		if c.Evacuated {
--- a/internal/fleet/evacuation/register_test.go
+++ b/internal/fleet/evacuation/register_test.go
@@ -52,7 +52,7 @@
 				}
 			}
 			slices.Sort(zones)
-			if now := r.Now(); !slices.Equal(now.Zones, zones) || !now.AsOf.Equal(asOf) {
+			if now := r.Current(); !slices.Equal(now.Zones, zones) || !now.AsOf.Equal(asOf) {
 				t.Fatalf("step %d: %v as of %v, want %v", i, now.Zones, now.AsOf, zones)
 			}
 		}
@@ -63,6 +63,6 @@
 	r := evacuation.NewRegister()
 	r.Replace([]string{"leon"}, time.Unix(10, 0))
 	r.Apply([]evacuation.Change{{Zone: "celaya", Evacuated: true}, {Zone: "leon"}}, time.Unix(11, 0))
-	fmt.Println(r.Now().Zones)
+	fmt.Println(r.Current().Zones)
 	// Output: [celaya]
 }
--- a/internal/fleet/soundness/record.go
+++ b/internal/fleet/health/record.go
@@ -1,4 +1,4 @@
-package soundness
+package health
 
 import (
 	"math"
@@ -68,7 +68,7 @@
 func (r *Record) against(weight float64, now time.Time) {
 	r.add(weight, now)
 	r.badAt = now
-	r.onTrial = r.onTrial || r.Condemned(now)
+	r.onTrial = r.onTrial || r.Quarantined(now)
 }
 
 func (r *Record) faded(now time.Time) float64 {
@@ -78,29 +78,29 @@
 	return r.evidence * math.Exp2(-float64(now.Sub(r.at))/float64(fades))
 }
 
-// Failed notes that a run failed there, that had not failed elsewhere, after it
+// ObserveFailure notes that a run failed there, that had not failed elsewhere, after it
 // had worked for some time of what it was expected to take.
-func (r *Record) Failed(worked, expected time.Duration, now time.Time) {
+func (r *Record) ObserveFailure(worked, expected time.Duration, now time.Time) {
 	weight := failureWeight
-	if Early(worked, expected) {
+	if EarlyFailure(worked, expected) {
 		weight = earlyWeight
 	}
 	r.against(weight, now)
 }
 
-// Early reports whether a run that failed had worked for so little of the time that
+// EarlyFailure reports whether a run that failed had worked for so little of the time that
 // it was expected to take that this speaks against its target, not against itself.
-func Early(worked, expected time.Duration) bool {
+func EarlyFailure(worked, expected time.Duration) bool {
 	return worked < earlyTime+time.Duration(earlyShare*float64(expected))
 }
 
-// StoodStill notes that a run made no progress there.
-func (r *Record) StoodStill(now time.Time) { r.against(standstill*failureWeight, now) }
+// ObserveStall notes that a run made no progress there.
+func (r *Record) ObserveStall(now time.Time) { r.against(standstill*failureWeight, now) }
 
-// Succeeded notes that a run went well there. One that began before the last sign
+// ObserveSuccess notes that a run went well there. One that began before the last sign
 // against the target tells nothing: a target that fails all that it starts lets go
 // on what it had started before.
-func (r *Record) Succeeded(began, now time.Time) {
+func (r *Record) ObserveSuccess(began, now time.Time) {
 	if began.Before(r.badAt) {
 		return
 	}
@@ -111,32 +111,32 @@
 	}
 }
 
-// Survived notes that a run works there that has worked for some time of what it
+// ObserveProgress notes that a run works there that has worked for some time of what it
 // is expected to take. It reports whether that is long enough to tell that the
 // target is sound: then it is a sign as good as a success.
-func (r *Record) Survived(began time.Time, worked, expected time.Duration, now time.Time) bool {
-	if float64(worked) < soundShare*float64(expected) || Early(worked, expected) {
+func (r *Record) ObserveProgress(began time.Time, worked, expected time.Duration, now time.Time) bool {
+	if float64(worked) < soundShare*float64(expected) || EarlyFailure(worked, expected) {
 		return false
 	}
-	r.Succeeded(began, now)
+	r.ObserveSuccess(began, now)
 	return true
 }
 
 // ProvenSince reports whether a run has gone well there that began after a time.
 func (r *Record) ProvenSince(at time.Time) bool { return r.provenAt.After(at) }
 
-// OnTrial reports whether the target was condemned a short while ago and nothing
+// OnProbation reports whether the target was condemned a short while ago and nothing
 // has gone well there that began since: it should get one run at a time.
-func (r *Record) OnTrial(now time.Time) bool { return r.onTrial && r.Doubted(now) }
+func (r *Record) OnProbation(now time.Time) bool { return r.onTrial && r.Suspect(now) }
 
 // odds returns the odds that the target is unsound.
 func (r *Record) odds(now time.Time) float64 { return priorOdds * math.Exp(r.faded(now)) }
 
-// Doubted reports whether the target should get work only if no other can.
-func (r *Record) Doubted(now time.Time) bool { return r.atLeast(doubted, now) }
+// Suspect reports whether the target should get work only if no other can.
+func (r *Record) Suspect(now time.Time) bool { return r.atLeast(doubted, now) }
 
-// Condemned reports whether the target should get no work.
-func (r *Record) Condemned(now time.Time) bool { return r.atLeast(condemned, now) }
+// Quarantined reports whether the target should get no work.
+func (r *Record) Quarantined(now time.Time) bool { return r.atLeast(condemned, now) }
 
 // atLeast reports whether the odds reach some that are above the prior ones. Each
 // decision asks it of every target, and of most nothing bad is known.
@@ -156,9 +156,9 @@
 	speedFades = 4 * time.Second
 )
 
-// Ran notes the speed of a run there: the work that it did, by its estimate,
+// ObserveSpeed notes the speed of a run there: the work that it did, by its estimate,
 // against the time that it took. Speeds that are not above 0 are ignored.
-func (r *Record) Ran(speed float64, now time.Time) {
+func (r *Record) ObserveSpeed(speed float64, now time.Time) {
 	if speed <= 0 || math.IsInf(speed, 0) || math.IsNaN(speed) {
 		return
 	}
--- a/internal/fleet/soundness/record_test.go
+++ b/internal/fleet/health/record_test.go
@@ -1,4 +1,4 @@
-package soundness
+package health
 
 import (
 	"testing"
@@ -20,19 +20,19 @@
 func TestFailures(t *testing.T) {
 	is := is.New(t)
 	var r Record
-	is.True(!r.Doubted(begin))
-	r.Failed(late, expected, begin)
-	is.True(r.Doubted(begin))
-	is.True(!r.Condemned(begin))
-	r.Failed(late, expected, begin.Add(time.Second))
-	is.True(r.Condemned(begin.Add(time.Second)))
+	is.True(!r.Suspect(begin))
+	r.ObserveFailure(late, expected, begin)
+	is.True(r.Suspect(begin))
+	is.True(!r.Quarantined(begin))
+	r.ObserveFailure(late, expected, begin.Add(time.Second))
+	is.True(r.Quarantined(begin.Add(time.Second)))
 
 	var sound Record
-	sound.Failed(late, expected, begin)
-	sound.Succeeded(begin, begin)
-	is.True(!sound.Doubted(begin))
-	sound.Failed(late, expected, begin.Add(time.Second))
-	is.True(!sound.Condemned(begin.Add(time.Second)))
+	sound.ObserveFailure(late, expected, begin)
+	sound.ObserveSuccess(begin, begin)
+	is.True(!sound.Suspect(begin))
+	sound.ObserveFailure(late, expected, begin.Add(time.Second))
+	is.True(!sound.Quarantined(begin.Add(time.Second)))
 }
 
 // A target that did well for long is noticed as fast as any other when it turns
@@ -41,12 +41,12 @@
 	is := is.New(t)
 	var r Record
 	for range 100 {
-		r.Succeeded(begin, begin)
+		r.ObserveSuccess(begin, begin)
 	}
-	r.Failed(late, expected, begin)
-	r.Failed(late, expected, begin)
-	r.Failed(late, expected, begin)
-	is.True(r.Condemned(begin))
+	r.ObserveFailure(late, expected, begin)
+	r.ObserveFailure(late, expected, begin)
+	r.ObserveFailure(late, expected, begin)
+	is.True(r.Quarantined(begin))
 }
 
 // Troubles pass: a condemned target is tried again after a while.
@@ -54,30 +54,30 @@
 	is := is.New(t)
 	var r Record
 	for range 3 {
-		r.Failed(late, expected, begin)
+		r.ObserveFailure(late, expected, begin)
 	}
-	is.True(r.Condemned(begin.Add(2 * time.Second)))
-	is.True(!r.Condemned(begin.Add(12 * time.Second)))
+	is.True(r.Quarantined(begin.Add(2 * time.Second)))
+	is.True(!r.Quarantined(begin.Add(12 * time.Second)))
 }
 
 // A standstill weighs more than a failure.
 func TestStandstill(t *testing.T) {
 	is := is.New(t)
 	var r Record
-	r.StoodStill(begin)
-	is.True(r.Condemned(begin))
+	r.ObserveStall(begin)
+	is.True(r.Quarantined(begin))
 }
 
 func TestSpeed(t *testing.T) {
 	is := is.New(t)
 	var r Record
 	is.True(!r.Slow(begin))
-	r.Ran(0.2, begin)
+	r.ObserveSpeed(0.2, begin)
 	is.True(r.Slow(begin))
 	is.Equal(r.SlowFor(begin.Add(time.Second)), time.Second)
 	is.True(!r.Slow(begin.Add(10 * time.Second))) // not believed for ever
-	r.Ran(1, begin.Add(time.Second))
+	r.ObserveSpeed(1, begin.Add(time.Second))
 	is.True(!r.Slow(begin.Add(time.Second)))
-	r.Ran(0, begin.Add(time.Second)) // ignored
+	r.ObserveSpeed(0, begin.Add(time.Second)) // ignored
 	is.True(!r.Slow(begin.Add(time.Second)))
 }
--- a/internal/fleet/limiter/gate.go
+++ b/internal/fleet/limiter/limiter.go
@@ -12,11 +12,11 @@
 // The classes, the first ones first. Starts are of one class: a gang whose first
 // members have begun must not wait for other work.
 const (
-	Stop   Class = iota // frees room, and ends what must not go on
-	Due                 // starts that must come in time, since that is guaranteed
-	Report              // first reports and acknowledgements
-	Start               //
-	Probe               // orders to targets that do not answer
+	Stop        Class = iota // frees room, and ends what must not go on
+	UrgentStart              // starts that must come in time, since that is guaranteed
+	Report                   // first reports and acknowledgements
+	Start                    //
+	Probe                    // orders to targets that do not answer
 	classes
 )
 
@@ -37,8 +37,8 @@
 	leastSlot = 40 * time.Millisecond
 )
 
-// Gate lets orders pass, so many at once. It is safe for several goroutines.
-type Gate struct {
+// Limiter lets orders pass, so many at once. It is safe for several goroutines.
+type Limiter struct {
 	clock   func() time.Time
 	mu      sync.Mutex
 	limit   limit
@@ -57,14 +57,14 @@
 	ready chan struct{} // closed when it has its place
 }
 
-// NewGate returns a gate that measures delays by the clock.
-func NewGate(clock func() time.Time) *Gate {
-	return &Gate{clock: clock, limit: newLimit(), rate: rate{perSecond: firstRate}}
+// NewLimiter returns a gate that measures delays by the clock.
+func NewLimiter(clock func() time.Time) *Limiter {
+	return &Limiter{clock: clock, limit: newLimit(), rate: rate{perSecond: firstRate}}
 }
 
-// Enter waits for a place. The caller calls the pass's Done when the order was
+// Acquire waits for a place. The caller calls the pass's Done when the order was
 // answered or given up. An error means that the context ended.
-func (g *Gate) Enter(ctx context.Context, c Class) (*Pass, error) {
+func (g *Limiter) Acquire(ctx context.Context, c Class) (*InFlight, error) {
 	g.mu.Lock()
 	if g.busy < int(g.limit.size) && g.queued(c) == 0 {
 		defer g.mu.Unlock()
@@ -86,7 +86,7 @@
 }
 
 // leave takes out an order that waits no longer.
-func (g *Gate) leave(c Class, w *waiter) {
+func (g *Limiter) leave(c Class, w *waiter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for i, o := range g.waiting[c] {
@@ -100,7 +100,7 @@
 }
 
 // queued returns how many orders of a class and those before it wait.
-func (g *Gate) queued(c Class) int {
+func (g *Limiter) queued(c Class) int {
 	n := 0
 	for i := range c + 1 {
 		n += len(g.waiting[i])
@@ -110,7 +110,7 @@
 
 // admit gives free places to those that wait: in the order of their classes, but
 // each so many times to the one that has waited longest, so that no class starves.
-func (g *Gate) admit() {
+func (g *Limiter) admit() {
 	for g.busy < int(g.limit.size) && g.queued(classes-1) > 0 {
 		g.admitted++
 		c := g.first()
@@ -125,7 +125,7 @@
 }
 
 // first returns the first class in which an order waits; one must.
-func (g *Gate) first() Class {
+func (g *Limiter) first() Class {
 	c := Class(0)
 	for len(g.waiting[c]) == 0 {
 		c++
@@ -134,7 +134,7 @@
 }
 
 // longest returns the class of the order that has waited longest; one must wait.
-func (g *Gate) longest() Class {
+func (g *Limiter) longest() Class {
 	best := g.first()
 	for c, list := range g.waiting {
 		if len(list) > 0 && list[0].since.Before(g.waiting[best][0].since) {
@@ -144,54 +144,54 @@
 	return best
 }
 
-// Patience returns how long an answer should be waited for.
-func (g *Gate) Patience() time.Duration {
+// Timeout returns how long an answer should be waited for.
+func (g *Limiter) Timeout() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.delays.patience()
 }
 
-// Spent returns how long an order usually takes, its wait in the gate counted in.
-func (g *Gate) Spent() time.Duration {
+// MeanLatency returns how long an order usually takes, its wait in the gate counted in.
+func (g *Limiter) MeanLatency() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.spent.mean
 }
 
-// Ahead returns how many starts may be on their way or wait, so that the last of them
+// MaxPendingStarts returns how many starts may be on their way or wait, so that the last of them
 // waits no longer than it should.
-func (g *Gate) Ahead() int {
+func (g *Limiter) MaxPendingStarts() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return max(leastAhead, int(g.rate.perSecond*waitTarget.Seconds()))
 }
 
-// Load is what a gate shows of itself.
-type Load struct {
-	Limit   int
-	Waiting int
-	Oldest  time.Duration // that an order has waited so far
-	Delay   time.Duration // usual, of answers
-	Rate    float64       // orders a second that the host carries
+// Stats is what a gate shows of itself.
+type Stats struct {
+	Limit       int
+	Waiting     int
+	LongestWait time.Duration // that an order has waited so far
+	Delay       time.Duration // usual, of answers
+	Rate        float64       // orders a second that the host carries
 }
 
-// Load returns the gate's load.
-func (g *Gate) Load() Load {
+// Stats returns the gate's load.
+func (g *Limiter) Stats() Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	l := Load{Limit: int(g.limit.size), Waiting: g.queued(classes - 1), Delay: g.delays.mean, Rate: g.rate.perSecond}
+	l := Stats{Limit: int(g.limit.size), Waiting: g.queued(classes - 1), Delay: g.delays.mean, Rate: g.rate.perSecond}
 	now := g.clock()
 	for _, list := range g.waiting {
 		if len(list) > 0 {
-			l.Oldest = max(l.Oldest, now.Sub(list[0].since))
+			l.LongestWait = max(l.LongestWait, now.Sub(list[0].since))
 		}
 	}
 	return l
 }
 
-// Pass is an order's place among those in flight.
-type Pass struct {
-	gate  *Gate
+// InFlight is an order's place among those in flight.
+type InFlight struct {
+	gate  *Limiter
 	came  time.Time // when the order came to the gate
 	began time.Time // when it was sent
 	timer *time.Timer
@@ -199,20 +199,20 @@
 }
 
 // newPass returns a pass for an order that came at a time and is sent now.
-func (g *Gate) newPass(came time.Time) *Pass {
-	p := &Pass{gate: g, came: came, began: g.clock()}
+func (g *Limiter) newPass(came time.Time) *InFlight {
+	p := &InFlight{gate: g, came: came, began: g.clock()}
 	p.timer = time.AfterFunc(max(slotDelays*g.delays.mean, leastSlot), p.expire)
 	return p
 }
 
 // expire gives the place to others though the order has not been answered.
-func (p *Pass) expire() {
+func (p *InFlight) expire() {
 	p.gate.mu.Lock()
 	defer p.gate.mu.Unlock()
 	p.free()
 }
 
-func (p *Pass) free() {
+func (p *InFlight) free() {
 	if p.freed {
 		return
 	}
@@ -223,7 +223,7 @@
 
 // Done ends the order. Only answers tell of delays: one that does not come may be
 // the target's fault.
-func (p *Pass) Done(answered bool) {
+func (p *InFlight) Done(answered bool) {
 	g := p.gate
 	p.timer.Stop()
 	g.mu.Lock()
--- a/internal/fleet/limiter/gate_test.go
+++ b/internal/fleet/limiter/limiter_test.go
@@ -11,10 +11,10 @@
 )
 
 // fill takes all places of a gate and returns their passes.
-func fill(t *testing.T, g *Gate) []*Pass {
-	var list []*Pass
+func fill(t *testing.T, g *Limiter) []*InFlight {
+	var list []*InFlight
 	for range firstLimit {
-		p, err := g.Enter(t.Context(), Start)
+		p, err := g.Acquire(t.Context(), Start)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -24,9 +24,9 @@
 }
 
 // queue has an order of the class wait, and tells its name when it has its place.
-func queue(ctx context.Context, g *Gate, c Class, name string, told chan<- string) {
+func queue(ctx context.Context, g *Limiter, c Class, name string, told chan<- string) {
 	go func() {
-		p, err := g.Enter(ctx, c)
+		p, err := g.Acquire(ctx, c)
 		if err != nil {
 			return
 		}
@@ -42,9 +42,9 @@
 func TestClassesInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := NewGate(time.Now)
+		g := NewLimiter(time.Now)
 		g.limit.size = 1
-		p, err := g.Enter(t.Context(), Start)
+		p, err := g.Acquire(t.Context(), Start)
 		p.timer.Stop() // it keeps its place
 		is.NoErr(err)
 		told := make(chan string, 3)
@@ -64,14 +64,14 @@
 func TestNoClassStarves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := NewGate(time.Now)
+		g := NewLimiter(time.Now)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var wg sync.WaitGroup
 		for range 3 * mostLimit {
 			wg.Go(func() {
 				for ctx.Err() == nil {
-					if p, err := g.Enter(ctx, Stop); err == nil {
+					if p, err := g.Acquire(ctx, Stop); err == nil {
 						time.Sleep(5 * time.Millisecond)
 						p.Done(true)
 					}
@@ -80,7 +80,7 @@
 		}
 		synctest.Wait()
 		began := time.Now()
-		p, err := g.Enter(ctx, Probe)
+		p, err := g.Acquire(ctx, Probe)
 		is.NoErr(err)
 		p.Done(true)
 		is.True(time.Since(began) < 2*time.Second)
@@ -94,10 +94,10 @@
 func TestSilentTargetsHoldUpNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := NewGate(time.Now)
+		g := NewLimiter(time.Now)
 		passes := fill(t, g)
 		began := time.Now()
-		p, err := g.Enter(t.Context(), Start)
+		p, err := g.Acquire(t.Context(), Start)
 		is.NoErr(err)
 		is.True(time.Since(began) <= leastSlot)
 		p.Done(true)
@@ -112,21 +112,21 @@
 func TestGivenUpWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := NewGate(time.Now)
+		g := NewLimiter(time.Now)
 		passes := fill(t, g)
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		for range 10 {
 			wg.Go(func() {
-				_, err := g.Enter(ctx, Stop)
+				_, err := g.Acquire(ctx, Stop)
 				is.True(err != nil)
 			})
 		}
 		synctest.Wait()
-		is.Equal(g.Load().Waiting, 10)
+		is.Equal(g.Stats().Waiting, 10)
 		cancel()
 		wg.Wait()
-		is.Equal(g.Load().Waiting, 0)
+		is.Equal(g.Stats().Waiting, 0)
 		for _, p := range passes {
 			p.Done(true)
 		}
@@ -137,8 +137,8 @@
 // The gate tells how much may be ahead: at least what is saved together.
 func TestAhead(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(time.Now)
-	is.Equal(g.Ahead(), int(firstRate*waitTarget.Seconds()))
+	g := NewLimiter(time.Now)
+	is.Equal(g.MaxPendingStarts(), int(firstRate*waitTarget.Seconds()))
 	g.rate.perSecond = 10
-	is.Equal(g.Ahead(), leastAhead)
+	is.Equal(g.MaxPendingStarts(), leastAhead)
 }
--- a/internal/fleet/order/counted.go
+++ b/internal/fleet/order/counted.go
@@ -12,13 +12,13 @@
 
 // outcomes are the outcomes by which orders are counted.
 var outcomes = map[string]error{
-	"fenced": ErrFenced, "staleRun": ErrStaleRun, "late": ErrLate, "noRoom": ErrNoRoom, "noTicket": ErrNoTicket, "invalid": ErrInvalid,
-	"unhealthy": ErrUnhealthy, "otherLife": ErrOtherLife, "unreached": ErrUnreached, "unanswered": ErrUnanswered,
+	"fenced": ErrFenced, "staleRun": ErrStaleRun, "late": ErrLate, "noRoom": ErrNoCapacity, "noTicket": ErrNoTicket, "invalid": ErrInvalid,
+	"unhealthy": ErrUnhealthy, "otherLife": ErrOtherIncarnation, "unreached": ErrUnreached, "unanswered": ErrUnanswered,
 }
 
 // Counted passes orders on to a line, counts them by outcome and times them.
 type Counted struct {
-	Line
+	Transport
 	orders map[string]*orderMetrics
 }
 
@@ -29,8 +29,8 @@
 }
 
 // NewCounted returns a line that counts in the scope.
-func NewCounted(l Line, scope tally.Scope) *Counted {
-	c := &Counted{Line: l, orders: map[string]*orderMetrics{}}
+func NewCounted(l Transport, scope tally.Scope) *Counted {
+	c := &Counted{Transport: l, orders: map[string]*orderMetrics{}}
 	for _, order := range []string{"start", "stop", "hold", "pace"} {
 		tagged := scope.Tagged(map[string]string{"order": order})
 		m := &orderMetrics{
@@ -62,7 +62,7 @@
 // Start implements Line.
 func (c *Counted) Start(ctx context.Context, to Address, s Start) (int64, error) {
 	began := time.Now()
-	clock, err := c.Line.Start(ctx, to, s)
+	clock, err := c.Transport.Start(ctx, to, s)
 	c.orders["start"].note(began, err)
 	return clock, err
 }
@@ -70,15 +70,15 @@
 // Stop implements Line.
 func (c *Counted) Stop(ctx context.Context, to Address, r Run, term int64) (int64, error) {
 	began := time.Now()
-	clock, err := c.Line.Stop(ctx, to, r, term)
+	clock, err := c.Transport.Stop(ctx, to, r, term)
 	c.orders["stop"].note(began, err)
 	return clock, err
 }
 
 // Hold implements Line.
-func (c *Counted) Hold(ctx context.Context, to Address, h Hold) (Report, error) {
+func (c *Counted) Hold(ctx context.Context, to Address, h Poll) (Report, error) {
 	began := time.Now()
-	rep, err := c.Line.Hold(ctx, to, h)
+	rep, err := c.Transport.Poll(ctx, to, h)
 	c.orders["hold"].note(began, err)
 	return rep, err
 }
@@ -86,7 +86,7 @@
 // Pace implements Line.
 func (c *Counted) Pace(ctx context.Context, to Address, r Run, percent int, term int64) (int64, error) {
 	began := time.Now()
-	clock, err := c.Line.Pace(ctx, to, r, percent, term)
+	clock, err := c.Transport.Pace(ctx, to, r, percent, term)
 	c.orders["pace"].note(began, err)
 	return clock, err
 }
--- a/internal/fleet/order/order.go
+++ b/internal/fleet/order/order.go
@@ -11,17 +11,17 @@
 // Why an order was not carried out. All but ErrUnanswered are answers, or prove
 // that nothing was sent: the target has done nothing.
 var (
-	ErrFenced     = errors.New("a newer term has given orders there")
-	ErrStaleRun   = errors.New("the run is not higher than one stopped or ended there")
-	ErrLate       = errors.New("the deadline has passed on the target's clock")
-	ErrNoRoom     = errors.New("no room on the target")
-	ErrNoTicket   = errors.New("no valid ticket for the target")
-	ErrInvalid    = errors.New("the target does not understand the order")
-	ErrUnhealthy  = errors.New("the target takes no work now")
-	ErrOtherLife  = errors.New("another incarnation runs at the address")
-	ErrUnreached  = errors.New("the target was not reached")
-	ErrWithheld   = errors.New("not sent: the target's zone is evacuated, or may be")
-	ErrUnanswered = errors.New("no answer; the order may have been carried out")
+	ErrFenced           = errors.New("a newer term has given orders there")
+	ErrStaleRun         = errors.New("the run is not higher than one stopped or ended there")
+	ErrLate             = errors.New("the deadline has passed on the target's clock")
+	ErrNoCapacity       = errors.New("no room on the target")
+	ErrNoTicket         = errors.New("no valid ticket for the target")
+	ErrInvalid          = errors.New("the target does not understand the order")
+	ErrUnhealthy        = errors.New("the target takes no work now")
+	ErrOtherIncarnation = errors.New("another incarnation runs at the address")
+	ErrUnreached        = errors.New("the target was not reached")
+	ErrWithheld         = errors.New("not sent: the target's zone is evacuated, or may be")
+	ErrUnanswered       = errors.New("no answer; the order may have been carried out")
 )
 
 // Address is where an incarnation of a target is reached.
@@ -46,8 +46,8 @@
 	Ticket     string // from the advice service; empty: none
 }
 
-// Hold renews the lease, acknowledges ends and reads what runs.
-type Hold struct {
+// Poll renews the lease, acknowledges ends and reads what runs.
+type Poll struct {
 	Term     int64
 	Acked    int64 // ends up to this number are forgotten
 	Deadline int64 // milliseconds on the target's clock; 0: no renewal
@@ -62,24 +62,24 @@
 	Gauge      int // of the last half second: tail in milliseconds for a serving task, else thousandths of a core
 }
 
-// How a run ended.
-type How string
+// EndReason a run ended.
+type EndReason string
 
 // The ways in which a run ends.
 const (
-	Done    How = "done"
-	Failed  How = "failed"  // through its own fault or the target's
-	Stopped How = "stopped" // by an order
-	Lapsed  How = "lapsed"  // its lease ended
-	Broken  How = "broken"  // another member of its gang ended
-	Alone   How = "alone"   // the other members of its gang did not come in time
+	Done           EndReason = "done"
+	Failed         EndReason = "failed"  // through its own fault or the target's
+	Stopped        EndReason = "stopped" // by an order
+	Lapsed         EndReason = "lapsed"  // its lease ended
+	GangBroken     EndReason = "broken"  // another member of its gang ended
+	GangIncomplete EndReason = "alone"   // the other members of its gang did not come in time
 )
 
 // Ended is a run that has ended and was not acknowledged.
 type Ended struct {
 	Number     int64 // rises in each incarnation, from 1
 	Run        Run
-	How        How
+	Reason     EndReason
 	Checkpoint string
 }
 
@@ -90,12 +90,12 @@
 	Ended   []Ended // by number; more may follow after an acknowledgement
 }
 
-// Line gives orders. Its errors wrap one of the package's errors and name the
+// Transport gives orders. Its errors wrap one of the package's errors and name the
 // step and the target. Methods that return a clock return the target's, or 0
 // where the answer had none.
-type Line interface {
+type Transport interface {
 	Start(ctx context.Context, to Address, s Start) (clock int64, err error)
 	Stop(ctx context.Context, to Address, r Run, term int64) (clock int64, err error)
-	Hold(ctx context.Context, to Address, h Hold) (Report, error)
+	Poll(ctx context.Context, to Address, h Poll) (Report, error)
 	Pace(ctx context.Context, to Address, r Run, percent int, term int64) (clock int64, err error)
 }
--- a/internal/fleet/shape/packing.go
+++ b/internal/fleet/shape/packing.go
@@ -35,9 +35,9 @@
 	return z
 }
 
-// CanHold returns why a gang of the shape does not fit into the zone as it is, nil
+// CheckFit returns why a gang of the shape does not fit into the zone as it is, nil
 // if it does.
-func (z *Zone) CanHold(s Shape) error {
+func (z *Zone) CheckFit(s Shape) error {
 	if _, ok := z.place(s); !ok {
 		return fmt.Errorf("no room for %s: %d accelerators, %d cores and %d MB for each member", s, s.accelerators, s.cores, s.memory)
 	}
--- a/internal/fleet/shape/packing_test.go
+++ b/internal/fleet/shape/packing_test.go
@@ -33,12 +33,12 @@
 func TestCanHold(t *testing.T) {
 	is := is.New(t)
 	z := NewZone(workers(2, 2, 8))
-	is.NoErr(z.CanHold(must(t, 4, 8, Any)))
-	is.NoErr(z.CanHold(must(t, 2, 8, SameRack)))
-	is.True(z.CanHold(must(t, 3, 8, SameRack)) != nil)
-	is.NoErr(z.CanHold(must(t, 4, 2, SameWorker)))
-	is.True(z.CanHold(must(t, 9, 1, SameWorker)) != nil) // slots
-	is.True(z.CanHold(must(t, 5, 8, Any)) != nil)
+	is.NoErr(z.CheckFit(must(t, 4, 8, Any)))
+	is.NoErr(z.CheckFit(must(t, 2, 8, SameRack)))
+	is.True(z.CheckFit(must(t, 3, 8, SameRack)) != nil)
+	is.NoErr(z.CheckFit(must(t, 4, 2, SameWorker)))
+	is.True(z.CheckFit(must(t, 9, 1, SameWorker)) != nil) // slots
+	is.True(z.CheckFit(must(t, 5, 8, Any)) != nil)
 }
 
 // What is guaranteed must fit together, not each alone; small shapes must not
@@ -51,7 +51,7 @@
 	is.NoErr(z.Pack([]Guarantee{small, big}))
 	is.NoErr(z.Pack([]Guarantee{{Account: "a", Shape: big.Shape, Count: 2}}))
 	is.True(z.Pack([]Guarantee{small, {Account: "a", Shape: big.Shape, Count: 2}}) != nil)
-	is.NoErr(z.CanHold(must(t, 4, 8, Any))) // nothing was taken
+	is.NoErr(z.CheckFit(must(t, 4, 8, Any))) // nothing was taken
 }
 
 // A set of guarantees that is found to fit never needs more than there is.
--- a/internal/host/api/jobs.go
+++ b/internal/host/api/jobs.go
@@ -75,7 +75,7 @@
 	by := entry.Caller{Account: j.Account}
 	told, err := a.await(r.Context(), j.ID, by, until)
 	if err != nil { // it is accepted whether it can be told of or not
-		told = view.Told{State: progress.Queued, Queue: j.Queue, Account: j.Account}
+		told = view.JobStatus{State: progress.Queued, Queue: j.Queue, Account: j.Account}
 	}
 	if told.Queue != j.Queue {
 		Problem{
@@ -92,7 +92,7 @@
 }
 
 // await returns what is told of a job, once it has ended or the time is over.
-func (a *API) await(ctx context.Context, id graph.JobID, by entry.Caller, until time.Time) (view.Told, error) {
+func (a *API) await(ctx context.Context, id graph.JobID, by entry.Caller, until time.Time) (view.JobStatus, error) {
 	for look := firstLook; ; look = min(2*look, lastLook) {
 		told, err := a.station.Entry().State(ctx, id, by)
 		left := time.Until(until)
--- a/internal/host/api/views.go
+++ b/internal/host/api/views.go
@@ -71,7 +71,7 @@
 		return
 	}
 	job := view.Job{ID: id, Queue: told.Queue, Account: told.Account, State: told.State}
-	reply(w, http.StatusOK, view.Story{Job: job, Lines: []view.Line{}})
+	reply(w, http.StatusOK, view.History{Job: job, Decisions: []view.Decision{}})
 }
 
 func (v Views) inForce(w http.ResponseWriter, r *http.Request) {
--- a/internal/host/dispatcher/asking.go
+++ b/internal/host/dispatcher/asking.go
@@ -21,7 +21,7 @@
 
 // State returns what clients may be told of a job, and whether the leader knows
 // it.
-func (d *Dispatcher) State(ctx context.Context, id graph.JobID) (told view.Told, known bool, err error) {
+func (d *Dispatcher) State(ctx context.Context, id graph.JobID) (told view.JobStatus, known bool, err error) {
 	err = d.ask(ctx, func(m *dispatch.Machine, _ time.Time) { told, known = m.Told(id) })
 	return told, known, err
 }
@@ -40,13 +40,13 @@
 
 // Story returns a job with what was decided about it, and whether the leader
 // knows it.
-func (d *Dispatcher) Story(ctx context.Context, id graph.JobID) (story view.Story, known bool, err error) {
+func (d *Dispatcher) Story(ctx context.Context, id graph.JobID) (story view.History, known bool, err error) {
 	err = d.ask(ctx, func(m *dispatch.Machine, _ time.Time) {
 		story.Job, known = m.Job(id)
 		story.Term = m.Term()
 	})
 	if o := d.office(); o != nil && known {
-		story.Lines = o.stories.of(id)
+		story.Decisions = o.stories.of(id)
 	}
 	return story, known, err
 }
--- a/internal/host/dispatcher/carry.go
+++ b/internal/host/dispatcher/carry.go
@@ -85,11 +85,11 @@
 // counts from then: the time spent waiting in this host says nothing of the target.
 // It is the usual one, and least in any case.
 func (o *office) give(c limiter.Class, least time.Duration, order func(ctx context.Context) (int64, error)) (int64, error) {
-	pass, err := o.gate.Enter(o.ctx, c)
+	pass, err := o.gate.Acquire(o.ctx, c)
 	if err != nil {
 		return 0, errTermOver
 	}
-	ctx, cancel := context.WithTimeout(o.ctx, max(least, o.gate.Patience()))
+	ctx, cancel := context.WithTimeout(o.ctx, max(least, o.gate.Timeout()))
 	defer cancel()
 	if !o.may() {
 		pass.Done(false)
@@ -138,17 +138,17 @@
 func (o *office) report(c dispatch.Hold) (rep order.Report, err error) {
 	if c.Order.Wait == 0 {
 		_, err = o.give(c.Class, holdExtra, func(ctx context.Context) (int64, error) {
-			rep, err = o.line.Hold(ctx, c.Target, c.Order)
+			rep, err = o.line.Poll(ctx, c.Target, c.Order)
 			return 0, err
 		})
 		return rep, err
 	}
-	ctx, cancel := context.WithTimeout(o.ctx, c.Order.Wait+max(holdExtra, o.gate.Patience()))
+	ctx, cancel := context.WithTimeout(o.ctx, c.Order.Wait+max(holdExtra, o.gate.Timeout()))
 	defer cancel()
 	if !o.may() {
 		return rep, errTermOver
 	}
-	return o.line.Hold(ctx, c.Target, c.Order)
+	return o.line.Poll(ctx, c.Target, c.Order)
 }
 
 // save makes a transaction. One whose answer was lost is made again: its
--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -49,7 +49,7 @@
 // Dispatcher leads, whenever its host is told to.
 type Dispatcher struct {
 	store   store.Store
-	line    order.Line
+	line    order.Transport
 	roster  Roster
 	bounds  dispatch.Bounds
 	clock   steady.Clock
@@ -100,7 +100,7 @@
 }
 
 // New returns a dispatcher that does not lead yet.
-func New(s store.Store, l order.Line, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
+func New(s store.Store, l order.Transport, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
 	b.Parts, b.ListAge = Parts, max(b.DrainTime-startSpare, 3*b.DrainTime/4)
 	d := &Dispatcher{store: s, line: l, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, settled: func(dispatch.Settled) {}, regained: func() <-chan struct{} { return nil }, log: log}
 	for _, o := range opts {
@@ -119,7 +119,7 @@
 	term       *leader.Term
 	machine    *dispatch.Machine
 	stories    *stories // what the machine decided
-	gate       *limiter.Gate
+	gate       *limiter.Limiter
 	work       chan func(now time.Time)
 	fences     [Parts]int64
 	configured int64         // version of the configuration that the machine was told
@@ -136,7 +136,7 @@
 	defer cancel()
 	o := &office{
 		Dispatcher: d, ctx: ctx, term: t, work: make(chan func(time.Time), backlog), stories: newStories(d.log),
-		gate: limiter.NewGate(time.Now),
+		gate: limiter.NewLimiter(time.Now),
 	}
 	o.machine = dispatch.New(t.Number(), d.bounds, dispatch.WithLog(o.stories))
 	began := o.clock()
@@ -251,8 +251,8 @@
 		if o.evacuations != nil {
 			o.machine.SetEvacuated(o.evacuations(), now)
 		}
-		o.machine.SetAhead(o.gate.Ahead())
-		o.machine.SetOrderTime(o.gate.Spent())
+		o.machine.SetAhead(o.gate.MaxPendingStarts())
+		o.machine.SetOrderTime(o.gate.MeanLatency())
 		for _, c := range o.machine.Decide(now) {
 			o.carryOut(c, now)
 		}
@@ -290,15 +290,15 @@
 		o.metrics.Gauge(name).Update(float64(n))
 	}
 	o.metrics.Gauge("term").Update(float64(o.term.Number()))
-	l := o.gate.Load()
+	l := o.gate.Stats()
 	if now := o.clock(); l.Waiting > 0 && now.Sub(o.toldWaiting) >= time.Second {
 		o.toldWaiting = now
-		o.log.Info("orders wait", "waiting", l.Waiting, "oldestMS", l.Oldest.Milliseconds(), "limit", l.Limit, "perSecond", int(l.Rate), "delayMS", l.Delay.Milliseconds(), "stepsWaiting", c.Open)
+		o.log.Info("orders wait", "waiting", l.Waiting, "oldestMS", l.LongestWait.Milliseconds(), "limit", l.Limit, "perSecond", int(l.Rate), "delayMS", l.Delay.Milliseconds(), "stepsWaiting", c.Open)
 	}
 	o.metrics.Gauge("orders_limit").Update(float64(l.Limit))
 	o.metrics.Gauge("orders_waiting").Update(float64(l.Waiting))
 	o.metrics.Gauge("orders_rate").Update(l.Rate)
-	o.metrics.Gauge("order_wait_seconds").Update(l.Oldest.Seconds())
+	o.metrics.Gauge("order_wait_seconds").Update(l.LongestWait.Seconds())
 	o.metrics.Gauge("order_delay_seconds").Update(l.Delay.Seconds())
 }
 
--- a/internal/host/dispatcher/guards_test.go
+++ b/internal/host/dispatcher/guards_test.go
@@ -35,7 +35,7 @@
 	return 1, nil
 }
 
-func (s *sends) Hold(context.Context, order.Address, order.Hold) (order.Report, error) {
+func (s *sends) Poll(context.Context, order.Address, order.Poll) (order.Report, error) {
 	s.holds++
 	return order.Report{}, nil
 }
@@ -46,9 +46,9 @@
 }
 
 // desk returns an office whose term was taken at the time given, at a time now.
-func desk(table store.Store, line order.Line, taken, now time.Time) *office {
+func desk(table store.Store, line order.Transport, taken, now time.Time) *office {
 	d := New(table, line, nil, dispatch.DefaultBounds(), logr.Discard(), WithClock(func() time.Time { return now }))
-	return &office{Dispatcher: d, gate: limiter.NewGate(time.Now), ctx: context.Background(), term: leader.NewTerm(7, taken), work: make(chan func(time.Time), 100)}
+	return &office{Dispatcher: d, gate: limiter.NewLimiter(time.Now), ctx: context.Background(), term: leader.NewTerm(7, taken), work: make(chan func(time.Time), 100)}
 }
 
 // A leader decides, and its process stands still before the order is sent. Another
@@ -110,7 +110,7 @@
 // slowReports is a line whose targets take half a second for a report.
 type slowReports struct{ sends }
 
-func (s *slowReports) Hold(ctx context.Context, _ order.Address, _ order.Hold) (order.Report, error) {
+func (s *slowReports) Poll(ctx context.Context, _ order.Address, _ order.Poll) (order.Report, error) {
 	select {
 	case <-time.After(500 * time.Millisecond):
 		return order.Report{Clock: 1}, nil
--- a/internal/host/dispatcher/shortage_test.go
+++ b/internal/host/dispatcher/shortage_test.go
@@ -30,7 +30,7 @@
 // is sent waits there for its turn, and goes out also after its sender has given it
 // up, as bytes do that a socket has taken.
 type narrowLink struct {
-	order.Line
+	order.Transport
 	perSecond float64
 	mu        sync.Mutex
 	freeAt    time.Time
@@ -66,28 +66,28 @@
 	}
 }
 
-// Start implements order.Line.
+// Start implements order.Transport.
 func (l *narrowLink) Start(ctx context.Context, to order.Address, s order.Start) (int64, error) {
 	a := l.carry(ctx, headers+len(s.Spec), func(ctx context.Context) answer {
-		clock, err := l.Line.Start(ctx, to, s)
+		clock, err := l.Transport.Start(ctx, to, s)
 		return answer{clock: clock, err: err}
 	})
 	return a.clock, a.err
 }
 
-// Stop implements order.Line.
+// Stop implements order.Transport.
 func (l *narrowLink) Stop(ctx context.Context, to order.Address, r order.Run, term int64) (int64, error) {
 	a := l.carry(ctx, headers, func(ctx context.Context) answer {
-		clock, err := l.Line.Stop(ctx, to, r, term)
+		clock, err := l.Transport.Stop(ctx, to, r, term)
 		return answer{clock: clock, err: err}
 	})
 	return a.clock, a.err
 }
 
-// Hold implements order.Line.
-func (l *narrowLink) Hold(ctx context.Context, to order.Address, h order.Hold) (order.Report, error) {
+// Poll implements order.Transport.
+func (l *narrowLink) Poll(ctx context.Context, to order.Address, h order.Poll) (order.Report, error) {
 	a := l.carry(ctx, headers, func(ctx context.Context) answer {
-		rep, err := l.Line.Hold(ctx, to, h)
+		rep, err := l.Transport.Poll(ctx, to, h)
 		return answer{report: rep, err: err}
 	})
 	return a.report, a.err
@@ -113,7 +113,7 @@
 			}, 1, now)
 		}
 	})
-	line := &narrowLink{Line: pool.NewLine(s.pool, time.Millisecond, rand.New(rand.NewPCG(1, 1))), perSecond: perSecond}
+	line := &narrowLink{Transport: pool.NewLine(s.pool, time.Millisecond, rand.New(rand.NewPCG(1, 1))), perSecond: perSecond}
 	s.d = New(s.rows, line, s.pool, dispatch.DefaultBounds(), logr.Discard(), WithClock(time.Now))
 	term := leader.NewTerm(1, time.Now().Add(time.Hour)) // the row is written all the while
 	go func() { s.over <- s.d.Lead(ctx, term, true) }()
--- a/internal/host/dispatcher/stories.go
+++ b/internal/host/dispatcher/stories.go
@@ -96,12 +96,12 @@
 }
 
 // of returns the lines about a job.
-func (s *stories) of(id graph.JobID) []view.Line {
+func (s *stories) of(id graph.JobID) []view.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lines := make([]view.Line, 0, len(s.byJob[id]))
+	lines := make([]view.Decision, 0, len(s.byJob[id]))
 	for _, l := range s.byJob[id] {
-		lines = append(lines, view.Line{At: l.at.UTC(), What: l.what, With: join(l.with)})
+		lines = append(lines, view.Decision{At: l.at.UTC(), What: l.what, With: join(l.with)})
 	}
 	return lines
 }
--- a/internal/host/entry/entry.go
+++ b/internal/host/entry/entry.go
@@ -52,7 +52,7 @@
 type Leader interface {
 	Submitted(ctx context.Context, j *graph.Job) error
 	Cancelled(ctx context.Context, id graph.JobID) error
-	State(ctx context.Context, id graph.JobID) (told view.Told, known bool, err error)
+	State(ctx context.Context, id graph.JobID) (told view.JobStatus, known bool, err error)
 	Pending(ctx context.Context, queue string) (int, error)
 }
 
@@ -256,15 +256,15 @@
 // State returns what to tell of a job: as the leader knows it, else as the store
 // has it. The error wraps ErrNoJob, also for a job that is not the caller's, or
 // ErrNoAnswer.
-func (e *Entry) State(ctx context.Context, id graph.JobID, by Caller) (view.Told, error) {
+func (e *Entry) State(ctx context.Context, id graph.JobID, by Caller) (view.JobStatus, error) {
 	told, err := e.tellState(ctx, id)
 	if err == nil && !by.May(told.Account) {
-		return view.Told{}, ErrNoJob
+		return view.JobStatus{}, ErrNoJob
 	}
 	return told, err
 }
 
-func (e *Entry) tellState(ctx context.Context, id graph.JobID) (view.Told, error) {
+func (e *Entry) tellState(ctx context.Context, id graph.JobID) (view.JobStatus, error) {
 	told, known, leaderErr := e.leader.State(ctx, id)
 	if leaderErr == nil && known {
 		return told, nil
@@ -273,11 +273,11 @@
 		leaderErr = errUnknownThere
 	}
 	if !e.store.Up() {
-		return view.Told{}, fmt.Errorf("%w: %w (leader: %w)", ErrNoAnswer, errDown, leaderErr)
+		return view.JobStatus{}, fmt.Errorf("%w: %w (leader: %w)", ErrNoAnswer, errDown, leaderErr)
 	}
 	told, err := e.stored(ctx, id)
 	if err != nil && !errors.Is(err, ErrNoJob) {
-		return view.Told{}, fmt.Errorf("%w: %w (leader: %w)", ErrNoAnswer, err, leaderErr)
+		return view.JobStatus{}, fmt.Errorf("%w: %w (leader: %w)", ErrNoAnswer, err, leaderErr)
 	}
 	return told, err
 }
@@ -286,27 +286,27 @@
 var errUnknownThere = errors.New("it does not know the job")
 
 // stored returns what the rows of a job say.
-func (e *Entry) stored(ctx context.Context, id graph.JobID) (view.Told, error) {
+func (e *Entry) stored(ctx context.Context, id graph.JobID) (view.JobStatus, error) {
 	row, cancelled, err := e.read(ctx, id)
 	if err != nil {
-		return view.Told{}, err
+		return view.JobStatus{}, err
 	}
 	if row.Version == 0 {
-		return view.Told{}, ErrNoJob
+		return view.JobStatus{}, ErrNoJob
 	}
 	j, err := dispatcher.DecodeJob(row.Value)
 	if err != nil {
-		return view.Told{}, err
+		return view.JobStatus{}, err
 	}
-	told := view.Told{State: progress.Queued, Queue: j.Queue, Account: j.Account}
+	told := view.JobStatus{State: progress.Queued, Queue: j.Queue, Account: j.Account}
 	saved, err := store.Get(ctx, e.store, dispatcher.ProgressKey(partOf(id), id))
 	if err != nil {
-		return view.Told{}, err
+		return view.JobStatus{}, err
 	}
 	p := &progress.Job{State: progress.Queued}
 	if saved.Version != 0 {
 		if p, err = progress.Decode(saved.Value); err != nil {
-			return view.Told{}, err
+			return view.JobStatus{}, err
 		}
 	}
 	told.State = stateOf(p.State, p.Started, cancelled)
--- a/internal/host/entry/entry_test.go
+++ b/internal/host/entry/entry_test.go
@@ -36,7 +36,7 @@
 	deaf      atomic.Int32 // so many calls find nobody who leads
 	heard     atomic.Int32 // calls that reached it
 	cancelled map[graph.JobID]bool
-	known     map[graph.JobID]view.Told
+	known     map[graph.JobID]view.JobStatus
 }
 
 func (l *listener) hear(ctx context.Context) error {
@@ -62,9 +62,9 @@
 	return nil
 }
 
-func (l *listener) State(_ context.Context, id graph.JobID) (view.Told, bool, error) {
+func (l *listener) State(_ context.Context, id graph.JobID) (view.JobStatus, bool, error) {
 	if l.gone {
-		return view.Told{}, false, errGone
+		return view.JobStatus{}, false, errGone
 	}
 	t, known := l.known[id]
 	return t, known, nil
@@ -88,7 +88,7 @@
 func newRig(peer error) *rig {
 	t := rows.New(storeCost)
 	l := rows.NewLink(t, rand.New(rand.NewPCG(1, 2)))
-	r := &rig{table: t, link: l, leader: &listener{cancelled: map[graph.JobID]bool{}, known: map[graph.JobID]view.Told{}}}
+	r := &rig{table: t, link: l, leader: &listener{cancelled: map[graph.JobID]bool{}, known: map[graph.JobID]view.JobStatus{}}}
 	r.entry = New(store.NewGauge(l, dispatcher.JobKey(0, one), func(bool, error) {}), r.leader, alone{peer}, logr.Discard())
 	return r
 }
--- a/internal/host/exchange/asking.go
+++ b/internal/host/exchange/asking.go
@@ -10,8 +10,8 @@
 
 // stateBody is what the leader says of a job.
 type stateBody struct {
-	Told  view.Told `json:"told"`
-	Known bool      `json:"known"`
+	Told  view.JobStatus `json:"told"`
+	Known bool           `json:"known"`
 }
 
 // ask returns what the leader answers, or this host's own desk if it leads.
@@ -46,7 +46,7 @@
 }
 
 // State asks the leader for a job's state.
-func (x *Exchange) State(ctx context.Context, id graph.JobID) (view.Told, bool, error) {
+func (x *Exchange) State(ctx context.Context, id graph.JobID) (view.JobStatus, bool, error) {
 	out, err := ask(ctx, x, methodState, id, func() (stateBody, error) { return x.ownState(ctx, id) })
 	return out.Told, out.Known, err
 }
--- a/internal/host/exchange/exchange.go
+++ b/internal/host/exchange/exchange.go
@@ -78,10 +78,10 @@
 type Desk interface {
 	Submitted(ctx context.Context, j *graph.Job) error
 	Cancelled(ctx context.Context, id graph.JobID) error
-	State(ctx context.Context, id graph.JobID) (told view.Told, known bool, err error)
+	State(ctx context.Context, id graph.JobID) (told view.JobStatus, known bool, err error)
 	Pending(ctx context.Context, queue string) (int, error)
 	Jobs(ctx context.Context, account string) ([]view.Job, error)
-	Story(ctx context.Context, id graph.JobID) (story view.Story, known bool, err error)
+	Story(ctx context.Context, id graph.JobID) (story view.History, known bool, err error)
 	Fleet(ctx context.Context) (view.Fleet, error)
 }
 
--- a/internal/host/exchange/exchange_test.go
+++ b/internal/host/exchange/exchange_test.go
@@ -44,12 +44,12 @@
 func (d *desk) Pending(context.Context, string) (int, error)     { return d.pending, d.err() }
 func (d *desk) Fleet(context.Context) (view.Fleet, error)        { return view.Fleet{}, d.err() }
 func (d *desk) Jobs(context.Context, string) ([]view.Job, error) { return nil, d.err() }
-func (d *desk) State(context.Context, graph.JobID) (view.Told, bool, error) {
-	return view.Told{Queue: "refill"}, true, d.err()
+func (d *desk) State(context.Context, graph.JobID) (view.JobStatus, bool, error) {
+	return view.JobStatus{Queue: "refill"}, true, d.err()
 }
 
-func (d *desk) Story(context.Context, graph.JobID) (view.Story, bool, error) {
-	return view.Story{}, true, d.err()
+func (d *desk) Story(context.Context, graph.JobID) (view.History, bool, error) {
+	return view.History{}, true, d.err()
 }
 
 // election says who leads.
--- a/internal/host/exchange/viewing.go
+++ b/internal/host/exchange/viewing.go
@@ -12,8 +12,8 @@
 
 // storyBody is what the leader says of a job's story.
 type storyBody struct {
-	Story view.Story `json:"story"`
-	Known bool       `json:"known"`
+	Story view.History `json:"story"`
+	Known bool         `json:"known"`
 }
 
 // Jobs asks the leader for the jobs of a client account, or for all if it is
@@ -24,7 +24,7 @@
 
 // Story asks the leader for a job with what was decided about it, and whether it
 // knows the job.
-func (x *Exchange) Story(ctx context.Context, id graph.JobID) (view.Story, bool, error) {
+func (x *Exchange) Story(ctx context.Context, id graph.JobID) (view.History, bool, error) {
 	out, err := ask(ctx, x, methodStory, id, func() (storyBody, error) { return x.ownStory(ctx, id) })
 	return out.Story, out.Known, err
 }
@@ -51,12 +51,12 @@
 }
 
 func (x *Exchange) ownInForce() []view.InForce {
-	list := []view.InForce{{Host: x.own, Version: x.keeper.Version(), Leads: true, StoreUp: x.up(), Power: x.power}}
+	list := []view.InForce{{Host: x.own, Version: x.keeper.Version(), Leads: true, StoreUp: x.up(), Cores: x.power}}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for address, w := range x.seen {
 		if time.Since(w.at) <= watcherGone {
-			list = append(list, view.InForce{Host: address, Version: w.version, StoreUp: w.storeUp, Power: w.power})
+			list = append(list, view.InForce{Host: address, Version: w.version, StoreUp: w.storeUp, Cores: w.power})
 		}
 	}
 	view.SortInForce(list)
--- a/internal/host/station/station.go
+++ b/internal/host/station/station.go
@@ -29,7 +29,7 @@
 // Ports are the ways to what is outside.
 type Ports struct {
 	Store   store.Store
-	Line    order.Line
+	Line    order.Transport
 	Roster  dispatcher.Roster
 	Adviser order.Adviser // nil: none
 }
--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -82,8 +82,8 @@
 }
 
 // Explain returns a job with its story.
-func (c *Client) Explain(ctx context.Context, id string) (view.Story, error) {
-	var s view.Story
+func (c *Client) Explain(ctx context.Context, id string) (view.History, error) {
+	var s view.History
 	err := c.do(ctx, http.MethodGet, "/v1/jobs/"+url.PathEscape(id)+"/explain", nil, &s)
 	return s, err
 }
--- a/internal/report/linelog/writer.go
+++ b/internal/report/linelog/writer.go
@@ -10,14 +10,14 @@
 
 // Bounds of what is kept and written.
 const (
-	// Rate is how many bytes a second are written at most: the leader of 350 targets
+	// MaxRate is how many bytes a second are written at most: the leader of 350 targets
 	// writes 100 KB in its worst seconds.
-	Rate = 256 << 10
-	// Pending is how many bytes may wait for the output: a second of Rate.
-	Pending = Rate
-	// Flush is the time between two writes to the output. One write for many
+	MaxRate = 256 << 10
+	// MaxPending is how many bytes may wait for the output: a second of Rate.
+	MaxPending = MaxRate
+	// FlushInterval is the time between two writes to the output. One write for many
 	// lines costs a small part of a write for each.
-	Flush = 100 * time.Millisecond
+	FlushInterval = 100 * time.Millisecond
 )
 
 // Writer is an io.Writer whose Write never blocks. Each Write is one line.
@@ -43,7 +43,7 @@
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.buf)+len(line) > Pending {
+	if len(w.buf)+len(line) > MaxPending {
 		w.dropped++
 		w.total++
 		return len(line), nil
@@ -61,14 +61,14 @@
 
 func (w *Writer) run() {
 	defer close(w.done)
-	tick := time.NewTicker(Flush)
+	tick := time.NewTicker(FlushInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			w.flush(int(Rate * Flush / time.Second))
+			w.flush(int(MaxRate * FlushInterval / time.Second))
 		case <-w.stop:
-			w.flush(Pending)
+			w.flush(MaxPending)
 			return
 		}
 	}
--- a/internal/report/linelog/writer_test.go
+++ b/internal/report/linelog/writer_test.go
@@ -36,7 +36,7 @@
 		out := &stuck{let: make(chan struct{})}
 		w := linelog.New(out)
 		line := []byte(strings.Repeat("x", 1023) + "\n")
-		const many = 10 * linelog.Pending / 1024
+		const many = 10 * linelog.MaxPending / 1024
 		began := time.Now()
 		for range many {
 			_, err := w.Write(line)
@@ -44,10 +44,10 @@
 		}
 		is.Equal(time.Since(began), time.Duration(0)) // it never waited
 		dropped := w.Dropped()
-		is.Equal(dropped, int64(many-linelog.Pending/1024))
+		is.Equal(dropped, int64(many-linelog.MaxPending/1024))
 		close(out.let)
 		w.Close()
-		is.Equal(strings.Count(out.took.String(), "xxx\n"), linelog.Pending/1024)
+		is.Equal(strings.Count(out.took.String(), "xxx\n"), linelog.MaxPending/1024)
 		is.True(strings.Contains(out.took.String(), "log lines left out"))
 	})
 }
@@ -75,8 +75,8 @@
 		told := strings.Split(strings.TrimSuffix(out.took.String(), "\n"), "\n")
 		size := out.took.Len()
 		out.mu.Unlock()
-		is.True(size <= seconds*linelog.Rate*11/10)
-		is.True(size >= seconds*linelog.Rate*8/10)
+		is.True(size <= seconds*linelog.MaxRate*11/10)
+		is.True(size >= seconds*linelog.MaxRate*8/10)
 		left := 0
 		for _, l := range told {
 			var n int
--- a/internal/report/view/view.go
+++ b/internal/report/view/view.go
@@ -9,8 +9,8 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// Told is what a client is told of a job, with whose job it is.
-type Told struct {
+// JobStatus is what a client is told of a job, with whose job it is.
+type JobStatus struct {
 	State   progress.State `json:"state"`
 	Queue   string         `json:"queue"`
 	Account string         `json:"account,omitempty"` // empty on a public queue
@@ -30,19 +30,19 @@
 	Runs     int            `json:"runs"`  // that are on targets now
 }
 
-// Line is one decision about a job.
-type Line struct {
+// Decision is one decision about a job.
+type Decision struct {
 	At   time.Time `json:"at"`
 	What string    `json:"what"`
 	With string    `json:"with,omitempty"` // the inputs that decided it, as key=value
 }
 
-// Story is a job with what was decided about it, oldest first. A leader knows what
+// History is a job with what was decided about it, oldest first. A leader knows what
 // was decided in its own term.
-type Story struct {
-	Job   Job    `json:"job"`
-	Term  int64  `json:"term"`
-	Lines []Line `json:"lines"`
+type History struct {
+	Job       Job        `json:"job"`
+	Term      int64      `json:"term"`
+	Decisions []Decision `json:"lines"`
 }
 
 // Target is a target as the leader sees it.
@@ -96,7 +96,7 @@
 	Version int64   `json:"version"`
 	Leads   bool    `json:"leads"`
 	StoreUp bool    `json:"storeUp"` // the store serves the host
-	Power   float64 `json:"power,omitempty"`
+	Cores   float64 `json:"power,omitempty"`
 }
 
 // SortInForce sorts by host.
--- a/internal/standin/pool/judge.go
+++ b/internal/standin/pool/judge.go
@@ -55,7 +55,7 @@
 	if !t.used().Plus(x.step.Charge()).Within(t.Capacity) {
 		p.breach("LIMIT", t, x.Run, fmt.Sprintf("%+v are taken of %+v", t.used(), t.Capacity))
 	}
-	if t.Service != x.def.job.Service || !t.Has(x.step.Label) {
+	if t.Service != x.def.job.Service || !t.HasLabel(x.step.Label) {
 		p.breach("ROUTE", t, x.Run, "of another service, or without the label")
 	}
 	same := 0
--- a/internal/standin/pool/line.go
+++ b/internal/standin/pool/line.go
@@ -120,23 +120,23 @@
 	return clock, err
 }
 
-// Start implements order.Line.
+// Start implements order.Transport.
 func (l *Line) Start(ctx context.Context, to order.Address, s order.Start) (int64, error) {
 	return l.give(ctx, to, func(p *Pool, now time.Time) (int64, error) { return p.Start(to, s, now) })
 }
 
-// Stop implements order.Line.
+// Stop implements order.Transport.
 func (l *Line) Stop(ctx context.Context, to order.Address, r order.Run, term int64) (int64, error) {
 	return l.give(ctx, to, func(p *Pool, now time.Time) (int64, error) { return p.Stop(to, r, term, now) })
 }
 
-// Pace implements order.Line. The stand-in's tasks do not disturb each other.
+// Pace implements order.Transport. The stand-in's tasks do not disturb each other.
 func (l *Line) Pace(ctx context.Context, to order.Address, _ order.Run, _ int, _ int64) (int64, error) {
 	return l.give(ctx, to, func(*Pool, time.Time) (int64, error) { return 0, nil })
 }
 
-// Hold implements order.Line.
-func (l *Line) Hold(ctx context.Context, to order.Address, h order.Hold) (order.Report, error) {
+// Poll implements order.Transport.
+func (l *Line) Poll(ctx context.Context, to order.Address, h order.Poll) (order.Report, error) {
 	l.mu.Lock()
 	l.holds++
 	l.mu.Unlock()
@@ -154,7 +154,7 @@
 // hold asks once. An order that is late may be carried out after hold has
 // returned: its report goes to a variable that nobody reads by then, so it is
 // read only when the order was answered.
-func (l *Line) hold(ctx context.Context, to order.Address, h order.Hold) (order.Report, error) {
+func (l *Line) hold(ctx context.Context, to order.Address, h order.Poll) (order.Report, error) {
 	var rep order.Report
 	_, err := l.give(ctx, to, func(p *Pool, now time.Time) (int64, error) {
 		r, err := p.Hold(to, h, now)
--- a/internal/standin/pool/orders.go
+++ b/internal/standin/pool/orders.go
@@ -14,7 +14,7 @@
 		return nil, order.ErrUnreached
 	}
 	if t.ID != to.ID {
-		return nil, order.ErrOtherLife
+		return nil, order.ErrOtherIncarnation
 	}
 	return t, nil
 }
@@ -110,7 +110,7 @@
 }
 
 // Hold carries out a hold that does not wait.
-func (p *Pool) Hold(to order.Address, h order.Hold, now time.Time) (order.Report, error) {
+func (p *Pool) Hold(to order.Address, h order.Poll, now time.Time) (order.Report, error) {
 	p.Advance(now)
 	t, err := p.reach(to)
 	if err != nil {
@@ -151,7 +151,7 @@
 			continue
 		}
 		w := p.jobs[e.Run.Task.Job]
-		switch e.How {
+		switch e.Reason {
 		case order.Done:
 			w.noted[e.Run.Task] = true
 		case order.Failed:
--- a/internal/standin/pool/running.go
+++ b/internal/standin/pool/running.go
@@ -65,7 +65,7 @@
 		p.breakGang(x)
 		return
 	case !x.works && now.Sub(x.startAt) >= p.bounds.GangTimeout:
-		x.target.end(x, order.Alone)
+		x.target.end(x, order.GangIncomplete)
 		p.breakGang(x)
 		return
 	case !x.works || x.target.hangs:
@@ -139,7 +139,7 @@
 	}
 	for _, y := range p.gang(x) {
 		if y != x {
-			y.target.end(y, order.Broken)
+			y.target.end(y, order.GangBroken)
 		}
 	}
 }
--- a/internal/standin/pool/target.go
+++ b/internal/standin/pool/target.go
@@ -76,11 +76,11 @@
 }
 
 // end takes a run off and lists its end.
-func (t *target) end(x *exec, how order.How) {
+func (t *target) end(x *exec, how order.EndReason) {
 	delete(t.runs, x.Run)
 	t.barred[x.Task] = max(t.barred[x.Task], x.Number)
 	t.number++
-	t.ended = append(t.ended, order.Ended{Number: t.number, Run: x.Run, How: how, Checkpoint: x.checkpoint()})
+	t.ended = append(t.ended, order.Ended{Number: t.number, Run: x.Run, Reason: how, Checkpoint: x.checkpoint()})
 }
 
 // checkpoint returns the newest checkpoint of a run, empty for none.
--- a/internal/work/dispatch/backlog_test.go
+++ b/internal/work/dispatch/backlog_test.go
@@ -119,7 +119,7 @@
 	usual := b.ReclaimTime - b.StopTime - reclaimMargin
 	is.True(!d.m.mustBegin(s, d.now.Add(usual-2*slow-10*time.Millisecond)))
 	is.True(d.m.mustBegin(s, d.now.Add(usual-2*slow+10*time.Millisecond)))
-	is.Equal(d.m.startClass(s, d.now.Add(usual)), limiter.Due)
+	is.Equal(d.m.startClass(s, d.now.Add(usual)), limiter.UrgentStart)
 	is.Equal(d.m.startClass(s, d.now), limiter.Start)
 }
 
--- a/internal/work/dispatch/command.go
+++ b/internal/work/dispatch/command.go
@@ -34,7 +34,7 @@
 // one look.
 type Hold struct {
 	Target order.Address
-	Order  order.Hold
+	Order  order.Poll
 	Class  limiter.Class // in which it waits for its turn, unless it waits for an end
 	Look   bool          // beside a hold that may have been lost
 	Sent   time.Time     // when the machine asked for it
--- a/internal/work/dispatch/ending.go
+++ b/internal/work/dispatch/ending.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"guavaglade.example/guavaglade/internal/fleet/health"
 	"guavaglade.example/guavaglade/internal/fleet/order"
-	"guavaglade.example/guavaglade/internal/fleet/soundness"
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
@@ -74,11 +74,11 @@
 	}
 	j := m.jobs[e.Run.Task.Job]
 	if j == nil {
-		m.log.Decided("end of an unknown job", "target", t.ID, "task", e.Run.Task, "run", e.Run.Number, "how", e.How)
+		m.log.Decided("end of an unknown job", "target", t.ID, "task", e.Run.Task, "run", e.Run.Number, "how", e.Reason)
 		t.ends = append(t.ends, mark{number: e.Number})
 		return
 	}
-	m.log.Decided("run ended", "target", t.ID, "task", e.Run.Task, "run", e.Run.Number, "how", e.How, "number", e.Number, "checkpoint", e.Checkpoint)
+	m.log.Decided("run ended", "target", t.ID, "task", e.Run.Task, "run", e.Run.Number, "how", e.Reason, "number", e.Number, "checkpoint", e.Checkpoint)
 	if x := j.find(e.Run.Task); x != nil {
 		x.highest = max(x.highest, e.Run.Number)
 		x.step.gangRun = max(x.step.gangRun, e.Run.Number)
@@ -88,7 +88,7 @@
 	}
 	if r != nil {
 		m.endOnce(r, now)
-		if e.How == order.Broken {
+		if e.Reason == order.GangBroken {
 			m.memberBroken(r, now)
 		}
 	}
@@ -106,19 +106,19 @@
 	if s.job.over() || x.done {
 		return false
 	}
-	if e.How == order.Done && !s.spec.Lasting {
+	if e.Reason == order.Done && !s.spec.Lasting {
 		if r != nil {
-			t.health.Succeeded(r.beganAt, now)
+			t.health.ObserveSuccess(r.beganAt, now)
 		}
 		m.done(x, e.Run.Number, now)
 		return true
 	}
 	saved := x.keep(e.Checkpoint)
-	if e.How == order.Failed && !s.spec.Lasting {
+	if e.Reason == order.Failed && !s.spec.Lasting {
 		m.failure(x, t, r, e.Run.Number, now)
 		return true
 	}
-	if e.How == order.Failed {
+	if e.Reason == order.Failed {
 		x.pausedTo = now.Add(lastingPause)
 	}
 	return saved
@@ -235,14 +235,14 @@
 	}
 	s.failedOn(t)
 	worked := m.worked(r, now)
-	early := soundness.Early(worked, s.spec.Estimate)
+	early := health.EarlyFailure(worked, s.spec.Estimate)
 	if early {
 		a.earlyAt = now
 	}
 	first := len(a.failed) == 1 // one that failed before is perhaps itself at fault
 	if s.blames() && (first || early) {
-		was := t.health.Condemned(now)
-		t.health.Failed(worked, s.spec.Estimate, now)
+		was := t.health.Quarantined(now)
+		t.health.ObserveFailure(worked, s.spec.Estimate, now)
 		m.suspect(t, was, "a run failed there after "+worked.String(), x.id(), now)
 	}
 	if len(a.failed) >= s.job.spec.MaxAttempts {
--- a/internal/work/dispatch/fit.go
+++ b/internal/work/dispatch/fit.go
@@ -14,7 +14,7 @@
 
 // couldSuit reports the same, whether or not there is leave to run the step there.
 func (s *step) couldSuit(t *target, now time.Time) bool {
-	return t.open(now) && t.Service == s.job.spec.Service && t.Has(s.spec.Label) && !t.barredByTrial(s, now)
+	return t.open(now) && t.Service == s.job.spec.Service && t.HasLabel(s.spec.Label) && !t.barredByTrial(s, now)
 }
 
 // spread returns how many more tasks of the step the limit per target allows.
@@ -74,7 +74,7 @@
 	after := room.Minus(charge)
 	f := fit{crowded: t.crowds(x.step), left: after.Accelerators, cpu: after.CPU, stranded: m.stranded(after) - m.stranded(room)}
 	switch {
-	case x.tried().shuns(t) || t.health.Doubted(now) || t.health.Slow(now):
+	case x.tried().shuns(t) || t.health.Suspect(now) || t.health.Slow(now):
 		f.doubt = 2
 	case x.lastAttempt() && !t.health.ProvenSince(now.Add(-provenFor)):
 		f.doubt = 1
--- a/internal/work/dispatch/hold.go
+++ b/internal/work/dispatch/hold.go
@@ -61,7 +61,7 @@
 // look asks for a report beside the hold that is outstanding.
 func (m *Machine) look(t *target, now time.Time) {
 	t.looking, t.lookedAt = true, now
-	m.out = append(m.out, Hold{Target: t.address(), Order: order.Hold{Term: m.term, Acked: t.acked}, Class: t.class(limiter.Report), Look: true, Sent: now})
+	m.out = append(m.out, Hold{Target: t.address(), Order: order.Poll{Term: m.term, Acked: t.acked}, Class: t.class(limiter.Report), Look: true, Sent: now})
 }
 
 // lookAround asks the targets of a zone that have missed something for a report, now that
@@ -127,7 +127,7 @@
 }
 
 func (m *Machine) hold(t *target, wait time.Duration, now time.Time) {
-	h := order.Hold{Term: m.term, Acked: t.acked}
+	h := order.Poll{Term: m.term, Acked: t.acked}
 	if t.reach == held { // a silent target's lease must come to an end
 		h.Wait = wait
 		if t.clockMS != 0 {
@@ -224,7 +224,7 @@
 	case errors.Is(err, order.ErrFenced):
 		m.fenced(t, "hold")
 		return
-	case errors.Is(err, order.ErrOtherLife):
+	case errors.Is(err, order.ErrOtherIncarnation):
 		m.lifeOver(t, now)
 	case t.heardAt.After(h.Sent):
 		// It answered another one since: only this one was lost.
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -174,13 +174,13 @@
 	}
 	if l.Draining && !t.Draining {
 		t.drainingAt = now
-		m.log.Decided("target drains", "target", t.ID, "remainsMS", l.Remains, "runs", len(t.runs))
+		m.log.Decided("target drains", "target", t.ID, "remainsMS", l.RemainingMS, "runs", len(t.runs))
 	}
-	if l.Remains != t.Remains {
+	if l.RemainingMS != t.RemainingMS {
 		t.remainsAt = now
 	}
-	if l.Cold != t.Cold {
-		t.noteCold(l.Cold, now)
+	if l.ColdRemainingMS != t.ColdRemainingMS {
+		t.noteCold(l.ColdRemainingMS, now)
 	}
 	if t.Rack != l.Rack {
 		m.racks = nil
--- a/internal/work/dispatch/once_test.go
+++ b/internal/work/dispatch/once_test.go
@@ -46,7 +46,7 @@
 	is.Equal(len(started), 1)
 	s.StartAnswered("t1", started[0].Order.Run, 5000, nil, s.now)
 	s.now = s.now.Add(time.Second)
-	s.report(order.Report{Ended: []order.Ended{{Number: 1, Run: started[0].Order.Run, How: order.Done}}})
+	s.report(order.Report{Ended: []order.Ended{{Number: 1, Run: started[0].Order.Run, Reason: order.Done}}})
 	s.saves()
 	state, _ := s.State(id)
 	is.Equal(state, progress.Completed)
--- a/internal/work/dispatch/orders_test.go
+++ b/internal/work/dispatch/orders_test.go
@@ -91,7 +91,7 @@
 	s.Tick(s.now)
 	is.Equal(orders(), 0)
 	is.Equal(len(tries), 2)
-	s.StartAnswered("t1", tries[1].Order.Run, 0, order.ErrNoRoom, s.now)
+	s.StartAnswered("t1", tries[1].Order.Run, 0, order.ErrNoCapacity, s.now)
 	is.Equal(orders(), 1)
 	is.Equal(len(s.targets["t1"].runs), 1) // its room stays taken
 }
--- a/internal/work/dispatch/query.go
+++ b/internal/work/dispatch/query.go
@@ -28,12 +28,12 @@
 }
 
 // Told returns what clients may be told of a job, and whether it is known.
-func (m *Machine) Told(id graph.JobID) (view.Told, bool) {
+func (m *Machine) Told(id graph.JobID) (view.JobStatus, bool) {
 	j := m.jobs[id]
 	if j == nil {
-		return view.Told{}, false
+		return view.JobStatus{}, false
 	}
-	return view.Told{State: j.told(), Queue: j.spec.Queue, Account: j.spec.Account}, true
+	return view.JobStatus{State: j.told(), Queue: j.spec.Queue, Account: j.spec.Account}, true
 }
 
 // Pending returns how many accepted jobs of a queue have not started.
@@ -150,7 +150,7 @@
 		return "draining"
 	case t.evacuated:
 		return "evacuated"
-	case t.health.Condemned(now) || t.health.Doubted(now):
+	case t.health.Quarantined(now) || t.health.Suspect(now):
 		return "doubted"
 	}
 	return "ready"
--- a/internal/work/dispatch/restore_test.go
+++ b/internal/work/dispatch/restore_test.go
@@ -63,7 +63,7 @@
 	id := graph.JobID("00000000000000aa")
 	s.Restore(one(id, 2), &progress.Job{State: progress.Completed, Ended: 1}, 5, true, s.now)
 	s.Begin(s.now, s.now)
-	s.report(order.Report{Ended: []order.Ended{{Number: 1, Run: run1(id, 0, 1), How: order.Done}}})
+	s.report(order.Report{Ended: []order.Ended{{Number: 1, Run: run1(id, 0, 1), Reason: order.Done}}})
 	is.Equal(len(s.saves()), 0)
 	state, known := s.State(id)
 	is.True(known)
@@ -80,11 +80,11 @@
 	failed := &progress.Step{Failures: map[int][]int{0: {1}}, Runs: map[int]int{0: 1}}
 	s.Restore(one(id, 1), &progress.Job{State: progress.Queued, Steps: map[string]*progress.Step{"0.0": failed}}, 5, false, s.now)
 	s.Begin(s.now, s.now)
-	s.report(order.Report{Ended: []order.Ended{{Number: 1, Run: run1(id, 0, 1), How: order.Failed}}})
+	s.report(order.Report{Ended: []order.Ended{{Number: 1, Run: run1(id, 0, 1), Reason: order.Failed}}})
 	state, _ := s.State(id)
 	is.Equal(state, progress.Queued)
 	s.saves()
-	s.report(order.Report{Ended: []order.Ended{{Number: 2, Run: run1(id, 0, 2), How: order.Failed}}})
+	s.report(order.Report{Ended: []order.Ended{{Number: 2, Run: run1(id, 0, 2), Reason: order.Failed}}})
 	s.saves()
 	state, _ = s.State(id)
 	is.Equal(state, progress.Failed) // the second failure does count
@@ -103,7 +103,7 @@
 	s.Restore(j, nil, 0, false, s.now)
 	s.Begin(s.now, s.now)
 	s.report(order.Report{Ended: []order.Ended{
-		{Number: 1, Run: run1(id, 0, 1), How: order.Done}, {Number: 2, Run: run1(id, 1, 1), How: order.Done},
+		{Number: 1, Run: run1(id, 0, 1), Reason: order.Done}, {Number: 2, Run: run1(id, 1, 1), Reason: order.Done},
 	}})
 	is.Equal(s.targets["t1"].acked, int64(0))
 	is.Equal(len(s.saves()), 1)
--- a/internal/work/dispatch/starting.go
+++ b/internal/work/dispatch/starting.go
@@ -112,7 +112,7 @@
 			r.settledAt = now
 			m.began(r, now)
 		}
-	case errors.Is(err, order.ErrOtherLife):
+	case errors.Is(err, order.ErrOtherIncarnation):
 		m.lifeOver(t, now)
 	case errors.Is(err, order.ErrUnanswered):
 		r.unanswered = true
@@ -147,7 +147,7 @@
 		t.shunned = now.Add(unhealthyRest)
 	case errors.Is(err, order.ErrLate):
 		t.clockMS = 0 // the next report tells the clock
-	case errors.Is(err, order.ErrNoRoom):
+	case errors.Is(err, order.ErrNoCapacity):
 		t.shunned = now.Add(fullRest)
 	case errors.Is(err, order.ErrNoTicket):
 		delete(r.task.step.permits.tickets, t.ID)
@@ -216,7 +216,7 @@
 // their targets answer.
 func (m *Machine) startClass(s *step, now time.Time) limiter.Class {
 	if m.mustBegin(s, now) {
-		return limiter.Due
+		return limiter.UrgentStart
 	}
 	return limiter.Start
 }
@@ -241,7 +241,7 @@
 	case errors.Is(err, order.ErrFenced):
 		m.fenced(t, "stop")
 		return
-	case errors.Is(err, order.ErrOtherLife):
+	case errors.Is(err, order.ErrOtherIncarnation):
 		m.lifeOver(t, now)
 		return
 	}
--- a/internal/work/dispatch/straggler.go
+++ b/internal/work/dispatch/straggler.go
@@ -46,8 +46,8 @@
 // stuck takes in that a run stands still.
 func (m *Machine) stuck(r *run, now time.Time) {
 	since := now.Sub(r.movedAt)
-	was := r.target.health.Condemned(now)
-	r.target.health.StoodStill(now)
+	was := r.target.health.Quarantined(now)
+	r.target.health.ObserveStall(now)
 	m.suspect(r.target, was, "a run stands still there", r.Task, now)
 	if !r.stuck {
 		r.stuck = true
@@ -140,7 +140,7 @@
 		return false
 	}
 	usual := peers.usualFor(r.target)
-	r.target.health.Ran(speed/usual, now)
+	r.target.health.ObserveSpeed(speed/usual, now)
 	if !r.target.health.Slow(now) || !r.task.step.spec.Checkpointing {
 		return false
 	}
@@ -209,7 +209,7 @@
 // somewhat longer than they must.
 func (m *Machine) isCutShort(r *run, now time.Time) bool {
 	left := r.expectedLeft(now)
-	stays := time.Duration(r.target.Remains)*time.Millisecond - now.Sub(r.target.remainsAt)
+	stays := time.Duration(r.target.RemainingMS)*time.Millisecond - now.Sub(r.target.remainsAt)
 	if r.task.step.spec.Checkpointing && !r.task.step.spec.Gang {
 		return left > stays
 	}
--- a/internal/work/dispatch/straggler_test.go
+++ b/internal/work/dispatch/straggler_test.go
@@ -106,7 +106,7 @@
 	list := d.p.Roster()
 	for i := range list {
 		if list[i].ID == old {
-			list[i].Remains = 2000
+			list[i].RemainingMS = 2000
 		}
 	}
 	d.m.Listed(list, d.now, d.now)
--- a/internal/work/dispatch/target.go
+++ b/internal/work/dispatch/target.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"guavaglade.example/guavaglade/internal/fleet/health"
 	"guavaglade.example/guavaglade/internal/fleet/order"
 	"guavaglade.example/guavaglade/internal/fleet/roster"
-	"guavaglade.example/guavaglade/internal/fleet/soundness"
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
@@ -52,7 +52,7 @@
 	acked      int64              // ends up to it are saved
 	sentAck    int64              // acknowledged in the hold that was answered last
 	ackDue     time.Time          // when unacknowledged ends are to be acknowledged at the latest; zero: none
-	health     soundness.Record
+	health     health.Record
 	pacedAt    time.Time // when its filling tasks were paced last
 	remainsAt  time.Time // when it said how long it stays
 	shunned    time.Time // gets no work until then
@@ -71,7 +71,7 @@
 
 // open reports whether new work may be given to the target.
 func (t *target) open(now time.Time) bool {
-	return t.listed && t.reach == held && t.inTouch() && t.clockMS != 0 && t.takesStarts() && !now.Before(t.shunned) && !t.health.Condemned(now)
+	return t.listed && t.reach == held && t.inTouch() && t.clockMS != 0 && t.takesStarts() && !now.Before(t.shunned) && !t.health.Quarantined(now)
 }
 
 // forgotten reports whether nothing need be known of the target any more: it has
--- a/internal/work/dispatch/touch_test.go
+++ b/internal/work/dispatch/touch_test.go
@@ -66,7 +66,7 @@
 	for _, x := range d.m.byID {
 		if x.Zone == zone && x.holding {
 			broken++
-			d.m.HoldFailed(x.ID, Hold{Sent: x.heldAt, Order: order.Hold{Wait: holdWait}}, order.ErrUnanswered, d.now)
+			d.m.HoldFailed(x.ID, Hold{Sent: x.heldAt, Order: order.Poll{Wait: holdWait}}, order.ErrUnanswered, d.now)
 		}
 	}
 	is.Equal(broken, 3)
@@ -97,7 +97,7 @@
 		if x.holding && len(x.runs) > 0 && len(bad) < 2 {
 			bad[x.ID] = true
 			d.p.Kill(x.ID, d.now)
-			d.m.HoldFailed(x.ID, Hold{Sent: x.heldAt, Order: order.Hold{Wait: holdWait}}, order.ErrUnanswered, d.now)
+			d.m.HoldFailed(x.ID, Hold{Sent: x.heldAt, Order: order.Poll{Wait: holdWait}}, order.ErrUnanswered, d.now)
 		}
 	}
 	is.Equal(len(bad), 2)
--- a/internal/work/dispatch/trust.go
+++ b/internal/work/dispatch/trust.go
@@ -44,13 +44,13 @@
 	if r.vouched || r.phase != running || r.task.step.spec.Lasting || !r.works() {
 		return
 	}
-	r.vouched = r.target.health.Survived(r.beganAt, m.worked(r, now), r.task.step.spec.Estimate, now)
+	r.vouched = r.target.health.ObserveProgress(r.beganAt, m.worked(r, now), r.task.step.spec.Estimate, now)
 }
 
 // barredByTrial reports whether a target on trial may not have a task of the step: it
 // has its one run already, or the step is a gang, which fails whole with one member.
 func (t *target) barredByTrial(s *step, now time.Time) bool {
-	if !t.health.OnTrial(now) {
+	if !t.health.OnProbation(now) {
 		return false
 	}
 	if s.spec.Gang {
@@ -82,7 +82,7 @@
 
 // suspect tells of a target that was condemned by a sign that was just taken in.
 func (m *Machine) suspect(t *target, was bool, why string, id graph.TaskID, now time.Time) {
-	if !was && t.health.Condemned(now) {
+	if !was && t.health.Quarantined(now) {
 		m.log.Decided("target condemned", "target", t.ID, "reason", why, "task", id, "runs", len(t.runs))
 	}
 }
--- a/internal/work/dispatch/trust_test.go
+++ b/internal/work/dispatch/trust_test.go
@@ -102,11 +102,11 @@
 	d.p.FailAll(only.ID, true)
 	d.submit(2, 2*time.Second, small(1))
 	d.run(200 * time.Millisecond)
-	is.True(only.health.Condemned(d.now))
+	is.True(only.health.Quarantined(d.now))
 	d.p.FailAll(only.ID, false)
 	d.submit(2, 2*time.Second, small(6))
 	d.run(4 * time.Second)
-	is.True(!only.health.Condemned(d.now))
+	is.True(!only.health.Quarantined(d.now))
 	is.Equal(len(only.runs), 1)
 	d.run(2 * time.Second)
 	is.Equal(len(only.runs), 6)
@@ -127,7 +127,7 @@
 	d.run(2 * time.Second)
 	condemned := 0
 	for _, x := range d.m.byID {
-		if x.health.Condemned(d.now) {
+		if x.health.Quarantined(d.now) {
 			condemned++
 		}
 	}
@@ -152,7 +152,7 @@
 	id := d.submit(2, time.Second, small(1))
 	d.m.jobs[id].spec.MaxAttempts = 2
 	d.run(6 * time.Second)
-	is.True(!bad.health.Condemned(d.now))
+	is.True(!bad.health.Quarantined(d.now))
 	is.Equal(d.p.StartsOn(bad.ID), 1)
 	d.run(10 * time.Second)
 	is.Equal(d.state(id), progress.Completed)
@@ -166,7 +166,7 @@
 	is := is.New(t)
 	d, x := newLastAttempt(t)
 	proven := d.m.byID[2]
-	proven.health.Succeeded(d.now.Add(-time.Second), d.now)
+	proven.health.ObserveSuccess(d.now.Add(-time.Second), d.now)
 	d.run(time.Second)
 	is.Equal(len(x.runs), 0)
 	d.run(1500 * time.Millisecond)
@@ -183,7 +183,7 @@
 	d, x := newLastAttempt(t)
 	d.run(500 * time.Millisecond)
 	proven := d.m.byID[2]
-	proven.health.Succeeded(d.now.Add(-300*time.Millisecond), d.now)
+	proven.health.ObserveSuccess(d.now.Add(-300*time.Millisecond), d.now)
 	d.run(200 * time.Millisecond)
 	is.Equal(len(x.runs), 1)
 	is.Equal(x.runs[0].target, proven)
--- a/internal/work/dispatch/warming_test.go
+++ b/internal/work/dispatch/warming_test.go
@@ -12,7 +12,7 @@
 	list := d.p.Roster()
 	for i := range list {
 		if list[i].Rack == rack {
-			list[i].Cold = cold.Milliseconds()
+			list[i].ColdRemainingMS = cold.Milliseconds()
 		}
 	}
 	d.m.Listed(list, d.now, d.now)
