--- a/internal/host/exchange/asking.go
+++ b/internal/host/exchange/asking.go
@@ -16,7 +16,7 @@
 
 // ask returns what the leader answers, or this host's own desk if it leads.
 func ask[T any](ctx context.Context, x *Exchange, method string, in any, own func() (T, error)) (T, error) {
-	if x.leading.Own() != nil {
+	if x.leading.OwnTerm() != nil {
 		return own()
 	}
 	var out T
--- a/internal/host/exchange/exchange.go
+++ b/internal/host/exchange/exchange.go
@@ -62,9 +62,9 @@
 // Leading is the part of an election that peers ask about.
 type Leading interface {
 	Leader() leader.Row
-	Own() *leader.Term
-	Look(ctx context.Context) error
-	Succeed(ctx context.Context, r leader.Row, version int64) bool
+	OwnTerm() *leader.Term
+	ReadRow(ctx context.Context) error
+	AcceptTransfer(ctx context.Context, r leader.Row, version int64) bool
 }
 
 // Storing is the part of an entry that peers use.
@@ -169,9 +169,9 @@
 	case methodCatalog:
 		return x.keeper.Stored(), nil
 	case methodLook:
-		return nil, x.leading.Look(ctx)
+		return nil, x.leading.ReadRow(ctx)
 	case methodSucceed:
-		return answer(params, func(in succeedBody) (any, error) { return x.leading.Succeed(ctx, in.Row, in.Version), nil })
+		return answer(params, func(in succeedBody) (any, error) { return x.leading.AcceptTransfer(ctx, in.Row, in.Version), nil })
 	case methodSubmit:
 		return answer(params, func(in graph.Job) (any, error) { return settled(x.storing.SubmitHere(ctx, &in)), nil })
 	case methodCancel:
--- a/internal/host/exchange/exchange_test.go
+++ b/internal/host/exchange/exchange_test.go
@@ -58,10 +58,10 @@
 	term *leader.Term // nil: another host leads
 }
 
-func (e *election) Leader() leader.Row                              { return e.row }
-func (e *election) Own() *leader.Term                               { return e.term }
-func (e *election) Look(context.Context) error                      { return nil }
-func (e *election) Succeed(context.Context, leader.Row, int64) bool { return true }
+func (e *election) Leader() leader.Row                                     { return e.row }
+func (e *election) OwnTerm() *leader.Term                                  { return e.term }
+func (e *election) ReadRow(context.Context) error                          { return nil }
+func (e *election) AcceptTransfer(context.Context, leader.Row, int64) bool { return true }
 
 // rows is a host's way to the store.
 type rows struct {
--- a/internal/host/exchange/relaying.go
+++ b/internal/host/exchange/relaying.go
@@ -101,7 +101,7 @@
 	if x.up() && time.Since(x.answered()) < inTouchFor {
 		return true
 	}
-	if x.leading.Own() != nil {
+	if x.leading.OwnTerm() != nil {
 		reach := x.ownReach()
 		x.mu.Lock()
 		defer x.mu.Unlock()
--- a/internal/host/exchange/watching.go
+++ b/internal/host/exchange/watching.go
@@ -57,13 +57,13 @@
 	if in.Version > x.keeper.Version() && in.From != "" {
 		go x.fetch(context.WithoutCancel(ctx), in.From)
 	}
-	t := x.leading.Own()
+	t := x.leading.OwnTerm()
 	if t == nil {
 		return x.successor(in.Row.Term)
 	}
 	select {
 	case <-ctx.Done():
-	case <-t.Over():
+	case <-t.Done():
 		return x.successor(in.Row.Term)
 	case <-time.After(watchWait):
 	}
@@ -130,7 +130,7 @@
 	return list
 }
 
-// Rank implements leader.Peer. A host that the leader's last list lacks comes after
+// Rank implements leader.Peers. A host that the leader's last list lacks comes after
 // all that are in it: the store may not have served it, or it had just begun. While
 // the store serves nobody the list is empty; what counts is the one before.
 func (x *Exchange) Rank(muchMore float64) (rank int, outpowered bool) {
@@ -167,7 +167,7 @@
 	return x.told
 }
 
-// Watch implements leader.Peer. If the host at the address does not lead and the store does
+// Watch implements leader.Peers. If the host at the address does not lead and the store does
 // not serve this one, others are asked whom they watch.
 func (x *Exchange) Watch(ctx context.Context, address string, term int64) (leader.Row, error) {
 	row, err := x.watch(ctx, address, term)
@@ -236,9 +236,9 @@
 // askedSuccessors bounds how many hosts are asked whether they could succeed.
 const askedSuccessors = 3
 
-// Successors implements leader.Peer. A host that last said that the store serves
+// Candidates implements leader.Peers. A host that last said that the store serves
 // it may not have asked since: each is asked to read the row now.
-func (x *Exchange) Successors(ctx context.Context, least float64) []string {
+func (x *Exchange) Candidates(ctx context.Context, least float64) []string {
 	ctx, cancel := context.WithTimeout(ctx, lookTime)
 	defer cancel()
 	list := x.served(least)
@@ -259,8 +259,8 @@
 	return slices.DeleteFunc(list, func(a string) bool { return !able[a] })
 }
 
-// HandOver implements leader.Peer.
-func (x *Exchange) HandOver(ctx context.Context, address string, r leader.Row, version int64) bool {
+// TransferLeadership implements leader.Peers.
+func (x *Exchange) TransferLeadership(ctx context.Context, address string, r leader.Row, version int64) bool {
 	ctx, cancel := context.WithTimeout(ctx, askTime)
 	defer cancel()
 	var took bool
--- a/internal/host/leader/doc.go
+++ b/internal/host/leader/doc.go
@@ -1,15 +1,15 @@
-// Package leader decides which host leads.
+// Package leader elects the host that leads.
 //
-// The leader row in the store names the leader and its term. It is taken by one
-// conditional write that raises the term; the term is the fencing token of all
-// orders. The leader writes the row again and again. The other hosts keep a call
-// to the leader open, and look at the row when it breaks or falls silent. A host
-// takes the row over when the leader resigned, or when the row has not changed
-// for Lease while the store answered. While the store answers nobody, nobody
-// can take over, and the leader goes on.
+// A row in the store names the leader and its term. A host becomes leader by one
+// conditional write that replaces the row and increments the term. The term is the
+// fencing token of all orders. The leader renews the row periodically. The other
+// hosts keep a call to the leader open, and read the row when the call fails or is
+// not answered. A host takes the row over when the leader has resigned, or when the
+// row has not changed for Lease while the store was available. While the store is
+// unavailable to all hosts, no host can take over and the leader continues.
 //
-// A leader that cannot write its row goes on giving orders for at most Grace:
-// it may be cut off alone. Its successor's first order to a target fences it
-// there; on targets that the successor does not reach, Grace and the longest
-// lease bound what it can do.
+// A leader that cannot write its row keeps sending orders for at most Grace, since it
+// may be the only host that is cut off. The first order of the next leader to a target
+// fences off the old one there. On targets that the next leader does not reach, Grace
+// and the longest target lease limit what the old one can do.
 package leader
--- a/internal/host/leader/election.go
+++ b/internal/host/leader/election.go
@@ -12,102 +12,104 @@
 	"guavaglade.example/guavaglade/internal/platform/store"
 )
 
-// Peer asks the leader whether it still leads. The call is answered after a
-// while, or fails when the leader's process has gone.
-type Peer interface {
+// Peers calls the other hosts.
+type Peers interface {
+	// Watch asks the host at an address whether it still leads. The call is answered
+	// after a delay, and fails if the host's process is gone.
 	Watch(ctx context.Context, address string, term int64) (Row, error)
-	// Successors returns hosts that watch this one and that have read the
-	// leader row just now, by address, the most powerful first. least bounds the
-	// power of those that count.
-	Successors(ctx context.Context, least float64) []string
-	// Rank returns how many hosts the last leader knew that come before this one,
-	// and whether one of them has so many times its power.
-	Rank(muchMore float64) (rank int, outpowered bool)
-	// HandOver asks the host at an address to take the row over, and reports
-	// whether it did.
-	HandOver(ctx context.Context, address string, r Row, version int64) bool
+	// Candidates returns the addresses of hosts with at least minCores cores that
+	// watch this host and have just read the leader row, ordered by cores, largest
+	// first.
+	Candidates(ctx context.Context, minCores float64) []string
+	// Rank returns how many of the hosts that the last leader listed precede this
+	// one, and whether the largest of them has at least ratio times its cores.
+	Rank(ratio float64) (rank int, muchLarger bool)
+	// TransferLeadership asks the host at an address to take over the row, and
+	// reports whether it did.
+	TransferLeadership(ctx context.Context, address string, r Row, version int64) bool
 }
 
-// Lead is what a host does while it leads. It returns when the context ends, or
-// earlier when it finds that a newer term has begun. clean tells that no other
-// leader can have given an order since the row was taken over.
+// Lead is called when a term of this host begins. It returns when the context ends, or
+// earlier if it finds that a newer term has begun. clean reports that no other leader
+// can have sent an order since the row was taken over.
 type Lead func(ctx context.Context, t *Term, clean bool) error
 
-// Election follows the leader row and leads when it is this host's turn.
+// Election follows the leader row, and leads while this host holds it.
 type Election struct {
-	store     store.Store
-	peer      Peer
-	lead      Lead
-	own       Row // term 0; holder and address of this host
-	clock     steady.Clock
-	draw      func(n int64) int64 // a random number from 0 up to n
-	power     float64             // cores that this host has
-	log       logr.Logger
-	mu        sync.Mutex
-	seen      Row
-	version   int64         // of the row as seen
-	changed   time.Time     // when this host first saw that version, or began to count anew
-	lostAt    time.Time     // when the store ceased to serve this host last
-	term      *Term         // nil while another host leads
-	following bool          // another host leads, and this one could
-	handed    chan handed   // terms that a leader handed over
-	lookTook  time.Duration // what the last look at the row took
+	store       store.Store
+	peers       Peers
+	lead        Lead
+	own         Row // term 0, with the holder and address of this host
+	clock       steady.Clock
+	randN       func(n int64) int64 // a random number in [0, n)
+	cores       float64             // of this host
+	log         logr.Logger
+	mu          sync.Mutex
+	row         Row           // as last read, written or reported by a peer
+	version     int64         // of row in the store
+	changedAt   time.Time     // when this host first saw that row, or last reset the lease
+	storeLostAt time.Time     // when the store last became unavailable to this host
+	term        *Term         // nil while another host leads
+	following   bool          // another host leads, and this one could
+	transfers   chan transfer // terms that a leader transferred to this host
+	readTime    time.Duration // duration of the last read of the row
 }
 
 // Option sets one property of a new election.
 type Option func(*Election)
 
-// WithClock sets the clock by which leases are measured, by default the
-// system's.
+// WithClock sets the clock that measures leases. The default is the system's boot-time
+// clock.
 func WithClock(c steady.Clock) Option { return func(e *Election) { e.clock = c } }
 
-// WithDraw sets what returns a random number from 0 up to n, by default that of
+// WithRandom sets the source of random numbers in [0, n). The default is that of
 // math/rand.
-func WithDraw(draw func(n int64) int64) Option { return func(e *Election) { e.draw = draw } }
+func WithRandom(randN func(n int64) int64) Option { return func(e *Election) { e.randN = randN } }
 
-// WithPower sets how many cores the host has; of hosts of unlike power the most
-// powerful leads.
-func WithPower(cores float64) Option { return func(e *Election) { e.power = cores } }
+// WithCores sets the number of cores of this host. Hosts with more cores take precedence
+// in leading.
+func WithCores(cores float64) Option { return func(e *Election) { e.cores = cores } }
 
-// New returns an election for the host with the name and the address for peers.
-func New(s store.Store, p Peer, lead Lead, holder, address string, log logr.Logger, opts ...Option) *Election {
-	e := &Election{store: s, peer: p, lead: lead, own: Row{Holder: holder, Address: address}, clock: steady.Now, draw: rand.Int64N, log: log, handed: make(chan handed)}
+// New returns an election for the host with the given holder name and address for
+// peers.
+func New(s store.Store, p Peers, lead Lead, holder, address string, log logr.Logger, opts ...Option) *Election {
+	e := &Election{store: s, peers: p, lead: lead, own: Row{Holder: holder, Address: address}, clock: steady.Now, randN: rand.Int64N, log: log, transfers: make(chan transfer)}
 	for _, o := range opts {
 		o(e)
 	}
 	return e
 }
 
-// Leader returns the leader as last seen; its holder is empty if none is known.
+// Leader returns the last known leader row. Its holder is empty if no leader is known.
 func (e *Election) Leader() Row {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.seen
+	return e.row
 }
 
-// Own returns this host's term while it leads, else nil.
-func (e *Election) Own() *Term {
+// OwnTerm returns the term of this host while it leads, and nil otherwise.
+func (e *Election) OwnTerm() *Term {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.term
 }
 
-// Run takes part until the context ends; a leader resigns then.
+// Run takes part in the election until the context ends. A leader resigns then.
 func (e *Election) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		e.setFollowing(true)
 		following, stop := context.WithCancel(ctx)
-		ripe := make(chan bool, 1)
-		go func() { ripe <- e.follow(following) }()
+		followed := make(chan bool, 1)
+		go func() { followed <- e.follow(following) }()
 		select {
-		case h := <-e.handed:
+		case t := <-e.transfers:
 			stop()
-			<-ripe
+			<-followed
 			e.setFollowing(false)
-			e.serve(ctx, h.term, h.row, h.version, true)
-		case takes := <-ripe:
+			e.serveTerm(ctx, t.term, t.row, t.version, true)
+		case takeOver := <-followed:
 			e.setFollowing(false)
-			if takes && ctx.Err() == nil {
+			if takeOver && ctx.Err() == nil {
 				e.takeOver(ctx)
 			}
 		}
--- a/internal/host/leader/election_test.go
+++ b/internal/host/leader/election_test.go
@@ -17,287 +17,289 @@
 	"guavaglade.example/guavaglade/internal/standin/rows"
 )
 
-const cost = 5 * time.Millisecond
+const transactionTime = 5 * time.Millisecond
 
 var errGone = errors.New("does not answer")
 
-// nobody is a peer that knows of no other host.
-type nobody struct{}
+// noPeers implements leader.Peers for a host that reaches no other one.
+type noPeers struct{}
 
-func (nobody) Watch(context.Context, string, int64) (leader.Row, error) {
+func (noPeers) Watch(context.Context, string, int64) (leader.Row, error) {
 	return leader.Row{}, errGone
 }
-func (nobody) Successors(context.Context, float64) []string             { return nil }
-func (nobody) Rank(float64) (int, bool)                                 { return 0, false }
-func (nobody) HandOver(context.Context, string, leader.Row, int64) bool { return false }
+func (noPeers) Candidates(context.Context, float64) []string                       { return nil }
+func (noPeers) Rank(float64) (int, bool)                                           { return 0, false }
+func (noPeers) TransferLeadership(context.Context, string, leader.Row, int64) bool { return false }
 
-// room is hosts that reach each other.
-type room struct {
+// network is a set of hosts that reach each other.
+type network struct {
 	mu    sync.Mutex
-	seats map[string]*seat
+	hosts map[string]*host
 }
 
-// enter has a host take part.
-func (r *room) enter(table *rows.Table, name string, seed uint64) *seat {
-	s := sitAmong(place{room: r, own: name}, table, name, seed)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s.all, r.seats[name] = r, s
-	return s
+// start adds a host.
+func (n *network) start(table *rows.Table, name string, seed uint64) *host {
+	h := startHostWithPeers(networkPeers{network: n, own: name}, table, name, seed)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	h.network, n.hosts[name] = n, h
+	return h
 }
 
-func (r *room) at(name string) *seat {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.seats[name]
+func (n *network) host(name string) *host {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.hosts[name]
 }
 
-// place is one host's view of the others. It answers as package exchange does.
-type place struct {
-	nobody
-	room *room
-	own  string
+// networkPeers implements leader.Peers for one host of a network. It answers as package
+// exchange does.
+type networkPeers struct {
+	noPeers
+	network *network
+	own     string
 }
 
-// Watch implements leader.Peer.
-func (p place) Watch(ctx context.Context, address string, term int64) (leader.Row, error) {
-	s := p.room.at(address)
-	if s != nil && !s.leads() && s.Leader().Term > term && s.Leader().Address != address {
-		return s.Leader(), nil
+// Watch implements leader.Peers.
+func (p networkPeers) Watch(ctx context.Context, address string, term int64) (leader.Row, error) {
+	h := p.network.host(address)
+	if h != nil && !h.leads() && h.Leader().Term > term && h.Leader().Address != address {
+		return h.Leader(), nil
 	}
-	if s == nil || !s.leads() {
+	if h == nil || !h.leads() {
 		return leader.Row{}, errGone
 	}
 	time.Sleep(400 * time.Millisecond)
-	return s.Leader(), ctx.Err()
+	return h.Leader(), ctx.Err()
 }
 
-// Successors implements leader.Peer.
-func (p place) Successors(ctx context.Context, least float64) (able []string) {
-	if least > 0 {
+// Candidates implements leader.Peers.
+func (p networkPeers) Candidates(ctx context.Context, minCores float64) (candidates []string) {
+	if minCores > 0 {
 		return nil
 	}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
-		if s := p.room.at(name); name != p.own && s != nil && s.Look(ctx) == nil {
-			able = append(able, name)
+		if h := p.network.host(name); name != p.own && h != nil && h.ReadRow(ctx) == nil {
+			candidates = append(candidates, name)
 		}
 	}
-	return able
+	return candidates
 }
 
-// HandOver implements leader.Peer.
-func (p place) HandOver(ctx context.Context, address string, r leader.Row, version int64) bool {
-	return p.room.at(address).Succeed(ctx, r, version)
+// TransferLeadership implements leader.Peers.
+func (p networkPeers) TransferLeadership(ctx context.Context, address string, r leader.Row, version int64) bool {
+	return p.network.host(address).AcceptTransfer(ctx, r, version)
 }
 
-// seat is a host that takes part in an election.
-type seat struct {
+// host takes part in an election.
+type host struct {
 	*leader.Election
-	name string
-	all  *room // of those that reach each other; nil: nobody
-	link *rows.Link
-	led  []int64 // terms that it was given
-	end  context.CancelFunc
-	over chan struct{}
+	name    string
+	network *network // nil if the host reaches no other one
+	link    *rows.Link
+	terms   []int64 // in which it led
+	cancel  context.CancelFunc
+	done    chan struct{}
 }
 
-func sit(table *rows.Table, name string, seed uint64) *seat {
-	return sitAmong(nobody{}, table, name, seed)
+func startHost(table *rows.Table, name string, seed uint64) *host {
+	return startHostWithPeers(noPeers{}, table, name, seed)
 }
 
-func sitAmong(peers leader.Peer, table *rows.Table, name string, seed uint64) *seat {
-	ctx, end := context.WithCancel(context.Background())
-	s := &seat{name: name, link: rows.NewLink(table, rand.New(rand.NewPCG(seed, 1))), end: end, over: make(chan struct{})}
+func startHostWithPeers(peers leader.Peers, table *rows.Table, name string, seed uint64) *host {
+	ctx, cancel := context.WithCancel(context.Background())
+	h := &host{name: name, link: rows.NewLink(table, rand.New(rand.NewPCG(seed, 1))), cancel: cancel, done: make(chan struct{})}
 	lead := func(ctx context.Context, t *leader.Term, _ bool) error {
-		s.led = append(s.led, t.Number())
+		h.terms = append(h.terms, t.Number())
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	draw := rand.New(rand.NewPCG(seed, 2)).Int64N
-	gauge := store.NewGauge(s.link, leader.RowKey, func(up bool, _ error) { s.StoreChanged(up) })
-	s.Election = leader.New(gauge, peers, lead, name+"#1", name, logr.Discard(), leader.WithClock(time.Now), leader.WithDraw(draw), leader.WithPower(1))
+	randN := rand.New(rand.NewPCG(seed, 2)).Int64N
+	gauge := store.NewGauge(h.link, leader.RowKey, func(up bool, _ error) { h.StoreChanged(up) })
+	h.Election = leader.New(gauge, peers, lead, name+"#1", name, logr.Discard(), leader.WithClock(time.Now), leader.WithRandom(randN), leader.WithCores(1))
 	go gauge.Follow(ctx)
 	go func() {
-		s.Run(ctx)
-		close(s.over)
+		h.Run(ctx)
+		close(h.done)
 	}()
-	return s
+	return h
 }
 
-func (s *seat) leads() bool { return s.Own() != nil }
+func (h *host) leads() bool { return h.OwnTerm() != nil }
 
-func leading(seats []*seat) (n int) {
-	for _, s := range seats {
-		if s.leads() {
+func countLeaders(hosts []*host) (n int) {
+	for _, h := range hosts {
+		if h.leads() {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *seat) leave() {
-	s.end()
-	<-s.over
+func (h *host) stop() {
+	h.cancel()
+	<-h.done
 }
 
-// Many hosts start together: one leads. It stops as planned and gives the row back:
-// another leads at once, with a higher term.
-func TestOneLeads(t *testing.T) {
+// Several hosts start at the same time, and one of them leads. It is stopped and resigns:
+// another one leads at once, with a higher term.
+func TestOneHostLeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := rows.New(cost)
-		var seats []*seat
+		table := rows.New(transactionTime)
+		var hosts []*host
 		for i := range 5 {
-			seats = append(seats, sit(table, string(rune('a'+i)), uint64(i)))
+			hosts = append(hosts, startHost(table, string(rune('a'+i)), uint64(i)))
 		}
 		time.Sleep(2 * time.Second)
-		is.Equal(leading(seats), 1)
-		for i, s := range seats {
-			if s.leads() {
-				s.leave()
-				seats = append(seats[:i:i], seats[i+1:]...)
+		is.Equal(countLeaders(hosts), 1)
+		for i, h := range hosts {
+			if h.leads() {
+				h.stop()
+				hosts = append(hosts[:i:i], hosts[i+1:]...)
 				break
 			}
 		}
-		time.Sleep(leader.Look * 2)
-		is.Equal(leading(seats), 1)
-		is.Equal(seats[0].Leader().Term, int64(2))
-		for _, s := range seats {
-			s.leave()
+		time.Sleep(leader.ReadInterval * 2)
+		is.Equal(countLeaders(hosts), 1)
+		is.Equal(hosts[0].Leader().Term, int64(2))
+		for _, h := range hosts {
+			h.stop()
 		}
 	})
 }
 
-// The leader is cut off from the store and does not know whether others reach it.
-// Its row stands still for the lease, and another host takes it over; the cut off
-// one gives orders for no longer than its grace.
-func TestRowThatStandsStill(t *testing.T) {
+// The leader is cut off from the store and does not know whether others reach it. Its row
+// does not change for Lease, and another host takes it over. The old leader may send orders
+// for no longer than Grace.
+func TestUnchangedRowIsTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := rows.New(cost)
-		a, b := sit(table, "a", 1), (*seat)(nil)
+		table := rows.New(transactionTime)
+		a, b := startHost(table, "a", 1), (*host)(nil)
 		time.Sleep(time.Second)
 		is.True(a.leads())
-		b = sit(table, "b", 2)
+		b = startHost(table, "b", 2)
 		time.Sleep(3 * time.Second)
 		is.True(!b.leads())
-		term := a.Own()
+		term := a.OwnTerm()
 		a.link.Set(rows.Trouble{Silent: true})
 		time.Sleep(leader.Lease / 2)
 		is.True(!b.leads())
-		time.Sleep(leader.Lease + 2*leader.Look)
+		time.Sleep(leader.Lease + 2*leader.ReadInterval)
 		is.True(b.leads())
-		is.Equal(b.Own().Number(), int64(2))
+		is.Equal(b.OwnTerm().Number(), int64(2))
 		time.Sleep(leader.Grace)
 		is.True(!term.Valid(time.Now()))
 		is.True(!a.leads())
-		a.leave()
-		b.leave()
+		a.stop()
+		b.stop()
 	})
 }
 
-// outage has eight hosts elect a leader, is told all of them, and returns the terms
-// before and after.
-func outage(t *testing.T, seed uint64, strike func(seats []*seat)) (before, after int64) {
-	table := rows.New(cost)
-	peers := &room{seats: map[string]*seat{}}
-	var seats []*seat
+// runEightHosts has eight hosts elect a leader, calls disturb with them, and returns the
+// terms before and after. It fails if no single host leads afterwards, or if two hosts led
+// in the same term.
+func runEightHosts(t *testing.T, seed uint64, disturb func(hosts []*host)) (before, after int64) {
+	table := rows.New(transactionTime)
+	peers := &network{hosts: map[string]*host{}}
+	var hosts []*host
 	for i, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
-		seats = append(seats, peers.enter(table, name, seed*10+uint64(i)))
+		hosts = append(hosts, peers.start(table, name, seed*10+uint64(i)))
 	}
 	time.Sleep(3 * time.Second)
-	before = seats[0].Leader().Term
-	strike(seats)
+	before = hosts[0].Leader().Term
+	disturb(hosts)
 	time.Sleep(3 * time.Second)
-	if n := leading(seats); n != 1 {
-		t.Errorf("seed %d: %d lead", seed, n)
+	if n := countLeaders(hosts); n != 1 {
+		t.Errorf("seed %d: %d hosts lead, want 1", seed, n)
 	}
-	after = seats[0].Leader().Term
+	after = hosts[0].Leader().Term
 	holder := map[int64]string{}
-	for _, s := range seats {
-		s.leave()
-		for _, n := range s.led {
+	for _, h := range hosts {
+		h.stop()
+		for _, n := range h.terms {
 			if other, taken := holder[n]; taken {
-				t.Errorf("seed %d: term %d is that of %s and of %s", seed, n, other, s.name)
+				t.Errorf("seed %d: term %d was held by both %s and %s", seed, n, other, h.name)
 			}
-			holder[n] = s.name
+			holder[n] = h.name
 		}
 	}
 	return before, after
 }
 
-// The store is away for four seconds and serves again. The leader is well and its
-// watchers hear from it, but its row stood still meanwhile. A watcher that had not
-// looked for a second took the row over in the moment in which the store was back;
-// or the leader itself, whose last write timed out just after that, believed that
-// the store turned only it away, and handed over. All that ran had to be learnt anew.
-func TestLeaderOutlivesAnOutageOfTheStore(t *testing.T) {
+// The store is unavailable for four seconds or longer. The leader is healthy and answers
+// its watchers, but its row does not change in that time. Once the store was back, a watcher
+// that had not read the row for a second took it over, or the leader, whose last write timed
+// out just then, concluded that the store refused only itself, and resigned. The next leader
+// had to restore the state of all running tasks.
+func TestLeaderKeepsTermThroughStoreOutage(t *testing.T) {
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
-			before, after := outage(t, seed, func(seats []*seat) {
-				for _, s := range seats {
-					s.link.Set(rows.Trouble{Refuse: seed%2 == 0, Silent: seed%2 == 1})
+			before, after := runEightHosts(t, seed, func(hosts []*host) {
+				for _, h := range hosts {
+					h.link.Set(rows.Trouble{Refuse: seed%2 == 0, Silent: seed%2 == 1})
 				}
 				time.Sleep(4*time.Second + time.Duration(seed)*67*time.Millisecond)
-				for _, s := range seats {
-					s.link.Set(rows.Trouble{})
+				for _, h := range hosts {
+					h.link.Set(rows.Trouble{})
 				}
 			})
 			if after != before {
-				t.Errorf("seed %d: term %d, was %d", seed, after, before)
+				t.Errorf("seed %d: term %d, want %d", seed, after, before)
 			}
 		})
 	}
 }
 
-// The store turns the leader away and serves the other hosts. It hands over well
-// before its row could be taken over.
-func TestLeaderThatIsTurnedAwayHandsOver(t *testing.T) {
+// The store refuses the leader and serves the other hosts. The leader transfers the
+// leadership before its row could be taken over.
+func TestLeaderRefusedByStoreTransfersLeadership(t *testing.T) {
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
-			before, after := outage(t, seed, func(seats []*seat) {
-				var left time.Time
-				for _, s := range seats {
-					if s.leads() {
-						s.link.Set(rows.Trouble{Refuse: true})
-						left = time.Now()
+			before, after := runEightHosts(t, seed, func(hosts []*host) {
+				var refusedAt time.Time
+				for _, h := range hosts {
+					if h.leads() {
+						h.link.Set(rows.Trouble{Refuse: true})
+						refusedAt = time.Now()
 					}
 				}
-				for leading(seats) != 1 || seats[0].Leader().Term+seats[1].Leader().Term < 3 {
+				for countLeaders(hosts) != 1 || hosts[0].Leader().Term+hosts[1].Leader().Term < 3 {
 					time.Sleep(10 * time.Millisecond)
 				}
-				if took := time.Since(left); took > leader.Lease {
-					t.Errorf("seed %d: %s until another led", seed, took)
+				if took := time.Since(refusedAt); took > leader.Lease {
+					t.Errorf("seed %d: another host led after %s", seed, took)
 				}
 			})
 			if after < before {
-				t.Errorf("seed %d: term %d, was %d", seed, after, before)
+				t.Errorf("seed %d: term %d, want %d", seed, after, before)
 			}
 		})
 	}
 }
 
-// The store turns the leader and some other hosts away. The leader hands over, and those
-// that cannot read the row learn from it who leads now.
-func TestHostsThatAreTurnedAwayFollowTheNextLeader(t *testing.T) {
+// The store refuses the leader and some other hosts. The leader transfers the leadership,
+// and the hosts that cannot read the row learn from it which host leads.
+func TestHostsRefusedByStoreFollowNextLeader(t *testing.T) {
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
-			outage(t, seed, func(seats []*seat) {
-				away := map[*seat]bool{}
-				for i, s := range seats {
-					if s.leads() || i%3 == 0 {
-						s.link.Set(rows.Trouble{Refuse: true})
-						away[s] = true
+			runEightHosts(t, seed, func(hosts []*host) {
+				refused := map[*host]bool{}
+				for i, h := range hosts {
+					if h.leads() || i%3 == 0 {
+						h.link.Set(rows.Trouble{Refuse: true})
+						refused[h] = true
 					}
 				}
 				time.Sleep(4 * time.Second)
-				for s := range away {
-					if at := s.all.at(s.Leader().Address); at == nil || !at.leads() {
-						t.Errorf("seed %d: %s watches %q, which does not lead", seed, s.name, s.Leader().Address)
+				for h := range refused {
+					if watched := h.network.host(h.Leader().Address); watched == nil || !watched.leads() {
+						t.Errorf("seed %d: %s watches %q, which does not lead", seed, h.name, h.Leader().Address)
 					}
 				}
-				for s := range away {
-					s.link.Set(rows.Trouble{})
+				for h := range refused {
+					h.link.Set(rows.Trouble{})
 				}
 				time.Sleep(time.Second)
 			})
@@ -305,32 +307,31 @@
 	}
 }
 
-// The leader is cut off from the store, another host takes the row over, and the
-// cut heals while the first one settles what became of its last write. It then
-// found the new row, and wrote its own over it by the version it had found: the next
-// host to take over got a term that was given already, and two leaders started the
-// same tasks with one fencing token.
-func TestSucceededLeaderLeavesTheRow(t *testing.T) {
+// The leader is cut off from the store, another host takes the row over, and the connection
+// is restored while the first one reads back its last write. It found the new row and
+// overwrote it, using the version just read. The next host to take over got a term that was
+// already in use, and two leaders started the same tasks with one fencing token.
+func TestSupersededLeaderDoesNotOverwriteRow(t *testing.T) {
 	for seed := range uint64(80) {
 		synctest.Test(t, func(t *testing.T) {
-			outage(t, seed, func(seats []*seat) {
-				for _, s := range seats {
-					if s.leads() {
-						s.link.Set(rows.Trouble{Silent: true})
+			runEightHosts(t, seed, func(hosts []*host) {
+				for _, h := range hosts {
+					if h.leads() {
+						h.link.Set(rows.Trouble{Silent: true})
 						time.Sleep(time.Second + time.Duration(seed)*50*time.Millisecond)
-						s.link.Set(rows.Trouble{})
+						h.link.Set(rows.Trouble{})
 						break
 					}
 				}
 				time.Sleep(2 * time.Second)
-				for _, s := range seats { // whoever leads by now is succeeded, too
-					if s.leads() {
-						s.link.Set(rows.Trouble{Silent: true})
+				for _, h := range hosts { // the present leader is superseded as well
+					if h.leads() {
+						h.link.Set(rows.Trouble{Silent: true})
 					}
 				}
 				time.Sleep(4 * time.Second)
-				for _, s := range seats {
-					s.link.Set(rows.Trouble{})
+				for _, h := range hosts {
+					h.link.Set(rows.Trouble{})
 				}
 				time.Sleep(leader.Grace)
 			})
@@ -338,13 +339,12 @@
 	}
 }
 
-// slowToAnswer takes its time to say whether a more powerful host could lead, and
-// there is none.
-type slowToAnswer struct{ nobody }
+// slowPeers answers slowly that there is no larger host.
+type slowPeers struct{ noPeers }
 
-// Successors implements leader.Peer.
-func (slowToAnswer) Successors(ctx context.Context, least float64) []string {
-	if least > 0 {
+// Candidates implements leader.Peers.
+func (slowPeers) Candidates(ctx context.Context, minCores float64) []string {
+	if minCores > 0 {
 		select {
 		case <-ctx.Done():
 		case <-time.After(1500 * time.Millisecond):
@@ -353,50 +353,49 @@
 	return nil
 }
 
-// A leader that has much to do looks every other second for a more powerful host,
-// and these are slow to answer. Its row was not renewed meanwhile: another weak host
-// took it over, and so on in turn.
-func TestLookForAPowerfulHostDoesNotKeepFromRenewing(t *testing.T) {
+// A leader checks every two seconds for a larger host, and under load the others are slow to
+// answer. The leader did not renew its row in that time, so another small host took it over
+// and failed in the same way.
+func TestSlowCandidateCheckDoesNotDelayRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := rows.New(cost)
-		a := sitAmong(slowToAnswer{}, table, "a", 1)
+		table := rows.New(transactionTime)
+		a := startHostWithPeers(slowPeers{}, table, "a", 1)
 		time.Sleep(time.Second)
-		b := sitAmong(slowToAnswer{}, table, "b", 2)
+		b := startHostWithPeers(slowPeers{}, table, "b", 2)
 		time.Sleep(20 * time.Second)
 		is.True(a.leads())
 		is.Equal(a.Leader().Term, int64(1))
-		a.leave()
-		b.leave()
+		a.stop()
+		b.stop()
 	})
 }
 
-// The store takes the write that makes a host leader and loses the answer. The host
-// reads the row back and leads; nobody else does.
-func TestAnswerLost(t *testing.T) {
+// The store does the write that makes a host leader, and the answer is lost. The host reads
+// the row back and leads.
+func TestLostAnswerIsReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := rows.New(cost)
-		a := sit(table, "a", 1)
+		table := rows.New(transactionTime)
+		a := startHost(table, "a", 1)
 		a.link.Set(rows.Trouble{Lose: 1})
 		time.Sleep(3 * time.Second)
 		is.True(a.leads())
-		is.Equal(a.Own().Number(), int64(1))
-		a.leave()
+		is.Equal(a.OwnTerm().Number(), int64(1))
+		a.stop()
 	})
 }
 
-// A row that cannot be read is somebody else's. It is taken over like one whose
-// holder is gone.
-func TestUnreadableRow(t *testing.T) {
+// A row that cannot be decoded is taken over like one whose holder is gone.
+func TestMalformedRowIsTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := rows.New(cost)
+		table := rows.New(transactionTime)
 		table.Put(leader.RowKey, []byte("{nonsense"))
-		a := sit(table, "a", 1)
+		a := startHost(table, "a", 1)
 		time.Sleep(3 * time.Second)
 		is.True(a.leads())
-		a.leave()
+		a.stop()
 	})
 }
 
@@ -406,7 +405,7 @@
 	}
 	f.Fuzz(func(t *testing.T, value []byte) {
 		if r, err := leader.DecodeRow(value); err != nil && r != (leader.Row{}) {
-			t.Fatal("a row beside an error")
+			t.Fatal("row and error returned together")
 		}
 	})
 }
--- a/internal/host/leader/following.go
+++ b/internal/host/leader/following.go
@@ -7,52 +7,52 @@
 	"guavaglade.example/guavaglade/internal/platform/store"
 )
 
-// follow watches the leader, and reports whether its row may be taken over.
+// follow watches the leader once, and reports whether its row may be taken over.
 func (e *Election) follow(ctx context.Context) bool {
 	row := e.Leader()
 	if row.Holder != "" && row.Address != e.own.Address {
-		next, err := e.peer.Watch(ctx, row.Address, row.Term)
+		next, err := e.peers.Watch(ctx, row.Address, row.Term)
 		if err == nil {
-			e.note(next, 0)
-			if !e.stands() {
+			e.observe(next, 0)
+			if !e.leaseExpired() {
 				return false
 			}
 		} else {
-			e.log.V(1).Info("leader does not answer", "leader", row.Holder, "term", row.Term, "error", err.Error())
+			e.log.V(1).Info("leader did not answer", "leader", row.Holder, "term", row.Term, "error", err.Error())
 		}
 	}
 	if ctx.Err() != nil {
 		return false
 	}
-	if err := e.Look(ctx); err != nil {
+	if err := e.ReadRow(ctx); err != nil {
 		e.log.V(1).Info("leader row not read", "error", err.Error())
-		// Time during which the store does not answer does not count against
-		// the leader: it cannot write its row either.
-		e.restart()
-		e.pause(ctx, Look)
+		// Time in which the store does not answer does not count against the
+		// leader, which cannot write its row either.
+		e.resetLease()
+		e.sleepJittered(ctx, ReadInterval)
 		return false
 	}
-	if e.ripe() {
+	if e.mayTakeOver() {
 		return true
 	}
 	if now := e.Leader(); now.Term == row.Term && now.Holder == row.Holder {
-		e.pause(ctx, Look)
+		e.sleepJittered(ctx, ReadInterval)
 	}
 	return false
 }
 
-// pause waits between half and one and a half of d, so that hosts which lost the
-// leader together do not ask together again and again.
-func (e *Election) pause(ctx context.Context, d time.Duration) {
+// sleepJittered sleeps for 0.5 to 1.5 times d, so that hosts that lost the leader
+// together do not keep reading the row at the same time.
+func (e *Election) sleepJittered(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(d/2 + time.Duration(e.draw(int64(d)))):
+	case <-time.After(d/2 + time.Duration(e.randN(int64(d)))):
 	}
 }
 
-// Look reads the leader row.
-func (e *Election) Look(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+// ReadRow reads the leader row.
+func (e *Election) ReadRow(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	began := e.clock()
 	found, err := store.Get(ctx, e.store, RowKey)
@@ -60,104 +60,104 @@
 		return err
 	}
 	e.mu.Lock()
-	e.lookTook = e.clock().Sub(began)
+	e.readTime = e.clock().Sub(began)
 	e.mu.Unlock()
 	row, err := DecodeRow(found.Value)
 	if err != nil {
-		e.log.Error(err, "leader row", "step", "read", "version", found.Version)
+		e.log.Error(err, "leader row malformed", "step", "read", "version", found.Version)
 	}
-	e.note(row, found.Version)
+	e.observe(row, found.Version)
 	return nil
 }
 
-// note takes in the row as seen; version 0 stands for one told by the leader.
-func (e *Election) note(r Row, version int64) {
+// observe records the row as last known. Version 0 means that a peer reported it.
+func (e *Election) observe(r Row, version int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if r.Term < e.seen.Term {
+	if r.Term < e.row.Term {
 		return
 	}
-	if r.Term > e.seen.Term || r.Holder != e.seen.Holder {
-		e.log.Info("leader", "holder", r.Holder, "term", r.Term, "address", r.Address)
+	if r.Term > e.row.Term || r.Holder != e.row.Holder {
+		e.log.Info("leader changed", "holder", r.Holder, "term", r.Term, "address", r.Address)
 	}
-	if r != e.seen {
-		e.changed = e.clock()
+	if r != e.row {
+		e.changedAt = e.clock()
 	}
-	e.seen, e.version = r, version
+	e.row, e.version = r, version
 }
 
-// stands reports whether the row has not changed for Lease.
-func (e *Election) stands() bool {
+// leaseExpired reports whether the row has not changed for Lease.
+func (e *Election) leaseExpired() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.clock().Sub(e.changed) >= Lease
+	return e.clock().Sub(e.changedAt) >= Lease
 }
 
-// restart begins to count anew how long the row stands still.
-func (e *Election) restart() {
+// resetLease restarts the time for which the row must be unchanged.
+func (e *Election) resetLease() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.changed = e.clock()
+	e.changedAt = e.clock()
 }
 
-// briefly is how long the store may seem away without having been: a client's
-// writes whose answers were lost look the same, and end with the next answer.
-const briefly = 300 * time.Millisecond
+// minOutage is the shortest loss of the store that counts as an outage. A host whose
+// writes were done but not answered also sees the store as lost, until the next answer.
+const minOutage = 300 * time.Millisecond
 
-// StoreChanged takes in that the store ceased to serve this host, or does so again.
-// The time in between does not count against the leader, who may have had no store
-// either: it would be succeeded, though well, in the moment in which the store is
-// back. One that alone cannot reach the store hands over by itself.
+// StoreChanged records whether the store is available to this host. The time of an
+// outage does not count against the leader, which may have been without the store as
+// well: a healthy leader would otherwise be replaced as soon as the store is back. A
+// leader that alone cannot reach the store transfers the leadership itself.
 func (e *Election) StoreChanged(up bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock()
 	switch {
 	case !up:
-		e.lostAt = now
-	case now.Sub(e.lostAt) >= briefly:
-		e.changed = now
+		e.storeLostAt = now
+	case now.Sub(e.storeLostAt) >= minOutage:
+		e.changedAt = now
 	}
 }
 
-// slowFactor is how many times what a look takes is added to the lease: a
-// renewal is a transaction, which takes up to three times as long as a look.
-const slowFactor = 4
+// readTimeFactor is how many times the duration of a read of the row is added to the
+// lease: a renewal is a transaction, which takes up to three times as long as a read.
+const readTimeFactor = 4
 
-// ripe reports whether the row may be taken over.
-func (e *Election) ripe() bool {
+// mayTakeOver reports whether the row may be taken over.
+func (e *Election) mayTakeOver() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	// A store that is slow for this host is slow for the leader's writes, too.
-	patience := Lease + slowFactor*e.lookTook
-	if _, outpowered := e.peer.Rank(muchMore); outpowered {
-		patience += outpoweredWait
+	// If the store is slow for this host, the leader's writes are slow as well.
+	timeout := Lease + readTimeFactor*e.readTime
+	if _, muchLarger := e.peers.Rank(transferRatio); muchLarger {
+		timeout += smallHostDelay
 	}
-	return e.seen.over(e.own) || e.clock().Sub(e.changed) >= patience
+	return e.row.vacant(e.own) || e.clock().Sub(e.changedAt) >= timeout
 }
 
-// Figures of choosing among hosts of unlike power.
+// Precedence among hosts with different numbers of cores.
 const (
-	// rankDelay is how long a host lets each more powerful one go first: a row is
-	// taken within two round trips to the store.
+	// rankDelay is how long a host waits for each larger one before it takes the row
+	// over: to take the row takes at most two round trips to the store.
 	rankDelay = 60 * time.Millisecond
-	// mostRank bounds the wait where many more powerful hosts are lost together.
-	mostRank = 10
-	// outpoweredWait is how much longer a host waits that is much weaker than
-	// another one: that one looks at the row as often as this.
-	outpoweredWait = time.Second
-	// muchMore is how many times more powerful another host must be for a leader
-	// to hand over to it: that costs a tenth of a second without orders.
-	muchMore = 1.5
-	// yieldEvery is the time between two looks for such a host.
-	yieldEvery = 2 * time.Second
+	// maxRank bounds the wait where many larger hosts are lost together.
+	maxRank = 10
+	// smallHostDelay is added to the timeout of a host if another one is much larger:
+	// that one reads the row as often as this one.
+	smallHostDelay = time.Second
+	// transferRatio is how many times the leader's cores another host must have for
+	// the leader to transfer the leadership to it, which costs 0.1 s without orders.
+	transferRatio = 1.5
+	// transferCheckInterval is the time between two checks for such a host.
+	transferCheckInterval = 2 * time.Second
 )
 
-// letFirst lets more powerful hosts go first, and reports whether the row may
-// still be taken over then.
-func (e *Election) letFirst(ctx context.Context) bool {
-	rank, _ := e.peer.Rank(muchMore)
-	rank = min(rank, mostRank)
+// deferToLargerHosts waits for larger hosts to take the row over, and reports whether
+// this host may still do so afterwards.
+func (e *Election) deferToLargerHosts(ctx context.Context) bool {
+	rank, _ := e.peers.Rank(transferRatio)
+	rank = min(rank, maxRank)
 	if rank == 0 {
 		return true
 	}
@@ -166,5 +166,5 @@
 		return false
 	case <-time.After(time.Duration(rank) * rankDelay):
 	}
-	return e.Look(ctx) == nil && e.ripe()
+	return e.ReadRow(ctx) == nil && e.mayTakeOver()
 }
--- a/internal/host/leader/leading.go
+++ b/internal/host/leader/leading.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// serve leads and renews the row until the term ends.
-func (e *Election) serve(ctx context.Context, t *Term, r Row, version int64, clean bool) {
+// serveTerm leads and renews the row until the term ends, then resigns.
+func (e *Election) serveTerm(ctx context.Context, t *Term, r Row, version int64, clean bool) {
 	leading, end := context.WithCancel(ctx)
 	lost := make(chan error, 1)
 	go func() {
 		var err error
-		version, err = e.keep(leading, t, &r, version)
+		version, err = e.renewUntilEnd(leading, t, &r, version)
 		lost <- err
 	}()
 	done := make(chan error, 1)
@@ -30,26 +30,26 @@
 	e.mu.Lock()
 	e.term = nil
 	e.mu.Unlock()
-	close(t.over)
+	close(t.done)
 	e.log.Info("no longer leading", "term", t.number, "reason", fmt.Sprint(err))
 	e.resign(ctx, r, version)
 }
 
-// errYield ends a term for the sake of a more powerful host.
-var errYield = errors.New("a much more powerful host could lead")
+// errLargerHost ends a term in favor of a host with many more cores.
+var errLargerHost = errors.New("a host with many more cores can lead")
 
-// keep renews the row until the context or the term ends. It changes the row
-// and returns its version as last written.
-func (e *Election) keep(ctx context.Context, t *Term, r *Row, version int64) (int64, error) {
-	tick := time.NewTicker(Renew)
+// renewUntilEnd renews the row until the context or the term ends. It updates r and
+// returns the version of the row as last written.
+func (e *Election) renewUntilEnd(ctx context.Context, t *Term, r *Row, version int64) (int64, error) {
+	tick := time.NewTicker(RenewInterval)
 	defer tick.Stop()
-	outpowered := e.findPowerful(ctx)
+	largerHost := e.findLargerHost(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return version, ctx.Err()
-		case <-outpowered:
-			return version, errYield
+		case <-largerHost:
+			return version, errLargerHost
 		case <-tick.C:
 			now, err := e.renew(ctx, t, r, version)
 			if err != nil {
@@ -60,13 +60,12 @@
 	}
 }
 
-// findPowerful looks for a host that is much more powerful than this one until the
-// context ends, and closes the channel when there is one. It must not wait for the
-// answers between two renewals: hosts may be slow to answer when a leader is needed
-// most.
-func (e *Election) findPowerful(ctx context.Context) <-chan struct{} {
+// findLargerHost checks for a much larger host until the context ends, and closes the
+// channel when there is one. The check runs beside the renewals and must not delay them:
+// hosts may be slow to answer just when a leader is needed most.
+func (e *Election) findLargerHost(ctx context.Context) <-chan struct{} {
 	found := make(chan struct{})
-	if e.power <= 0 {
+	if e.cores <= 0 {
 		return found
 	}
 	go func() {
@@ -74,9 +73,9 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(yieldEvery):
+			case <-time.After(transferCheckInterval):
 			}
-			if len(e.peer.Successors(ctx, e.power*muchMore)) > 0 {
+			if len(e.peers.Candidates(ctx, e.cores*transferRatio)) > 0 {
 				close(found)
 				return
 			}
@@ -85,88 +84,88 @@
 	return found
 }
 
-// renew writes the row again. An error says that the term has ended.
+// renew writes the row again. It returns an error if the term has ended.
 func (e *Election) renew(ctx context.Context, t *Term, r *Row, version int64) (int64, error) {
 	sent := e.clock()
 	next := *r
-	next.Beat++
+	next.Heartbeat++
 	v, err := e.write(ctx, next, version)
 	if err == nil {
 		*r = next
-		t.write(sent)
-		e.begin(next, v, t)
+		t.renewed(sent)
+		e.setOwnRow(next, v, t)
 		return v, nil
 	}
 	if ctx.Err() != nil {
 		return 0, ctx.Err()
 	}
-	if _, gone := e.found(*r); gone != nil {
-		return 0, fmt.Errorf("%w: %w", gone, err)
+	if _, superseded := e.ownVersion(*r); superseded != nil {
+		return 0, fmt.Errorf("%w: %w", superseded, err)
 	}
 	if !t.Valid(e.clock()) {
-		return 0, fmt.Errorf("row not written for %s: %w", Grace, err)
+		return 0, fmt.Errorf("leader row not written for %s: %w", Grace, err)
 	}
-	if e.clock().Sub(t.written()) > Renew+Renew/2 && e.alone(ctx) {
-		return version, fmt.Errorf("the store turns this host away and serves others: %w", err)
+	if e.clock().Sub(t.lastRenewal()) > RenewInterval+RenewInterval/2 && e.isolated(ctx) {
+		return version, fmt.Errorf("store unavailable to this host only: %w", err)
 	}
-	found, gone := e.found(*r) // that may have shown another leader
-	if gone != nil {
-		return 0, fmt.Errorf("%w: %w", gone, err)
+	found, superseded := e.ownVersion(*r) // the check above may have read a newer row
+	if superseded != nil {
+		return 0, fmt.Errorf("%w: %w", superseded, err)
 	}
 	e.log.V(1).Info("leader row not renewed", "term", t.number, "error", err.Error())
 	return max(version, found), nil
 }
 
-// errSucceeded says that another host leads by now.
-var errSucceeded = errors.New("another term has begun")
+// errSuperseded means that another host leads now.
+var errSuperseded = errors.New("superseded by another leader")
 
-// found returns the version of this leader's row as it was last read: an earlier
-// write whose answer was lost may have taken effect. It is an error if the row was
-// found to be another leader's; to write over that would give two leaders one term.
-func (e *Election) found(own Row) (int64, error) {
+// ownVersion returns the version of this leader's row as last read: an earlier write
+// whose answer was lost may have taken effect. It fails if the row was found to be that
+// of another leader. Overwriting that row would give two leaders the same term.
+func (e *Election) ownVersion(own Row) (int64, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.seen.Term > own.Term || e.seen.Holder != own.Holder {
-		return 0, fmt.Errorf("term %d of %q: %w", e.seen.Term, e.seen.Holder, errSucceeded)
+	if e.row.Term > own.Term || e.row.Holder != own.Holder {
+		return 0, fmt.Errorf("term %d of %q: %w", e.row.Term, e.row.Holder, errSuperseded)
 	}
 	return e.version, nil
 }
 
-// aloneTime bounds the look by which a leader tells whether the store serves it
-// again: a slow store takes a third of it, and a host that is turned away silently
-// hands over so much later.
-const aloneTime = 300 * time.Millisecond
+// isolationTimeout bounds the read by which a leader checks whether the store is
+// available to it again. A slow store takes a third of it. A leader whose calls to the
+// store are not answered resigns later by as much.
+const isolationTimeout = 300 * time.Millisecond
 
-// alone reports whether the store serves other hosts and not this one. The write
-// that failed may have been sent while the store was away for all: by the time that
-// others are served again, so is this host. It looks after they did, since they may
-// have waited for the store until it was back.
-func (e *Election) alone(ctx context.Context) bool {
-	if len(e.peer.Successors(ctx, 0)) == 0 {
+// isolated reports whether the store is available to other hosts and not to this one.
+// The write that failed may have been sent during an outage for all hosts, and by the
+// time that the store is available to others it is to this host as well. So this host
+// reads the row after the others did, whose reads may have waited for the outage to end.
+func (e *Election) isolated(ctx context.Context) bool {
+	if len(e.peers.Candidates(ctx, 0)) == 0 {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, aloneTime)
+	ctx, cancel := context.WithTimeout(ctx, isolationTimeout)
 	defer cancel()
-	return e.Look(ctx) != nil
+	return e.ReadRow(ctx) != nil
 }
 
-// resign has a peer take the row over, or gives it back, so that another host
-// leads at once.
+// resign transfers the leadership to a peer, or else clears the row's holder, so that
+// another host leads at once.
 func (e *Election) resign(ctx context.Context, r Row, version int64) {
-	if seen := e.Leader(); seen.Term > r.Term {
+	if known := e.Leader(); known.Term > r.Term {
 		return
 	}
 	ctx = context.WithoutCancel(ctx)
-	for _, address := range e.peer.Successors(ctx, 0) {
-		if e.peer.HandOver(ctx, address, r, version) {
-			e.log.Info("handed over", "term", r.Term, "to", address)
-			e.note(Row{Term: r.Term + 1, Holder: address, Address: address}, 0) // until it or the store says more
+	for _, address := range e.peers.Candidates(ctx, 0) {
+		if e.peers.TransferLeadership(ctx, address, r, version) {
+			e.log.Info("leadership transferred", "term", r.Term, "to", address)
+			e.observe(Row{Term: r.Term + 1, Holder: address, Address: address}, 0) // until it or the store reports the row itself
 			return
 		}
 	}
-	gone := Row{Term: r.Term, Beat: r.Beat + 1}
-	if _, err := e.write(ctx, gone, version); err != nil {
-		e.log.V(1).Info("leader row not given back", "term", r.Term, "error", err.Error())
+	resigned := Row{Term: r.Term, Heartbeat: r.Heartbeat + 1}
+	if _, err := e.write(ctx, resigned, version); err != nil {
+		e.log.V(1).Info("leader row not released", "term", r.Term, "error", err.Error())
 	}
-	e.note(gone, 0)
+	e.observe(resigned, 0)
 }
--- a/internal/host/leader/row.go
+++ b/internal/host/leader/row.go
@@ -8,44 +8,45 @@
 	"guavaglade.example/guavaglade/internal/platform/store"
 )
 
-// Figures of leadership.
+// Intervals and timeouts of the election.
 const (
-	// Renew is the time between two writes of the row. Two writes a second are
-	// a small part of what the store takes.
-	Renew = 500 * time.Millisecond
-	// Lease is how long the row stands still before it may be taken over: two
-	// renewals may be lost or late.
+	// RenewInterval is the time between two writes of the row by the leader. Two
+	// writes a second are a small part of the store's capacity.
+	RenewInterval = 500 * time.Millisecond
+	// Lease is how long the row must be unchanged before it may be taken over. It
+	// allows for two lost or late renewals.
 	Lease = 1300 * time.Millisecond
-	// Grace is how long a leader that cannot write its row goes on giving
-	// orders: most outages of the store are shorter.
+	// Grace is how long a leader that cannot write its row keeps sending orders. Most
+	// outages of the store are shorter.
 	Grace = 10 * time.Second
-	// Look is the time between two looks at the row by a host that does not
-	// hear from the leader.
-	Look = 300 * time.Millisecond
-	// callTime bounds a call to the store about the row.
-	callTime = 1500 * time.Millisecond
+	// ReadInterval is the time between two reads of the row by a host whose calls to
+	// the leader are not answered.
+	ReadInterval = 300 * time.Millisecond
+	// storeTimeout bounds a read or write of the row.
+	storeTimeout = 1500 * time.Millisecond
 )
 
 // RowKey is the key of the leader row.
 var RowKey = store.Key{Table: "leader", Name: "leader"}
 
-// Row is what the leader row says.
+// Row is the content of the leader row.
 type Row struct {
-	Term    int64  `json:"term"`
-	Holder  string `json:"holder"`            // host name with incarnation; empty after a resignation
-	Address string `json:"address,omitempty"` // where peers reach the holder
-	Beat    int64  `json:"beat"`              // rises with each renewal
+	Term      int64  `json:"term"`
+	Holder    string `json:"holder"`            // host name with incarnation; empty after a resignation
+	Address   string `json:"address,omitempty"` // of the holder, for peers
+	Heartbeat int64  `json:"beat"`              // incremented by each renewal
 }
 
 func (r Row) encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		return nil // cannot happen: the type has no value that JSON cannot hold
+		return nil // unreachable: every value of the type can be encoded as JSON
 	}
 	return b
 }
 
-// DecodeRow reads the value of a leader row; no value is a row with term 0.
+// DecodeRow decodes the value of a leader row. An empty value yields a row with
+// term 0.
 func DecodeRow(value []byte) (Row, error) {
 	if len(value) == 0 {
 		return Row{}, nil
@@ -57,6 +58,6 @@
 	return r, nil
 }
 
-// over reports whether the row's holder cannot give orders any more: it
-// resigned, or own is a later process at its address.
-func (r Row) over(own Row) bool { return r.Holder == "" || r.Address == own.Address }
+// vacant reports whether the row's holder can no longer send orders: it resigned, or
+// own is a later process at its address.
+func (r Row) vacant(own Row) bool { return r.Holder == "" || r.Address == own.Address }
--- /dev/null
+++ b/internal/host/leader/takeover.go
@@ -0,0 +1,104 @@
+package leader
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"guavaglade.example/guavaglade/internal/platform/store"
+)
+
+// takeOver tries to take the row over, and leads if that succeeds.
+func (e *Election) takeOver(ctx context.Context) {
+	if !e.deferToLargerHosts(ctx) {
+		return
+	}
+	e.mu.Lock()
+	before, version := e.row, e.version
+	e.mu.Unlock()
+	if t, next, version, err := e.acquire(ctx, before, version); err == nil {
+		e.serveTerm(ctx, t, next, version, before.vacant(next))
+		return
+	}
+	e.sleepJittered(ctx, ReadInterval/4)
+}
+
+// acquire replaces the row as last known by one that names this host, with the next
+// term.
+func (e *Election) acquire(ctx context.Context, before Row, version int64) (*Term, Row, int64, error) {
+	next := e.own
+	next.Term, next.Heartbeat = before.Term+1, 1
+	sent := e.clock()
+	version, err := e.write(ctx, next, version)
+	if err != nil {
+		e.log.Info("leader row not acquired", "term", next.Term, "error", err.Error())
+		return nil, Row{}, 0, err
+	}
+	t := NewTerm(next.Term, sent)
+	e.setOwnRow(next, version, t)
+	e.log.Info("leading", "term", next.Term, "before", before.Holder, "power", e.cores)
+	return t, next, version, nil
+}
+
+// AcceptTransfer takes the row over at the request of a leader that has ceased to send
+// orders. It reports whether that succeeded.
+func (e *Election) AcceptTransfer(ctx context.Context, r Row, version int64) bool {
+	e.mu.Lock()
+	accepted := e.term == nil && e.following && r.Term >= e.row.Term
+	e.mu.Unlock()
+	if !accepted {
+		return false
+	}
+	t, next, version, err := e.acquire(ctx, r, version)
+	if err != nil {
+		return false
+	}
+	select {
+	case e.transfers <- transfer{t, next, version}:
+		return true
+	case <-time.After(storeTimeout): // Run ended, or this host took the row over by itself
+		return false
+	}
+}
+
+// transfer is a term that a leader transferred to this host.
+type transfer struct {
+	term    *Term
+	row     Row
+	version int64
+}
+
+// setOwnRow records that this host wrote the row for its term.
+func (e *Election) setOwnRow(r Row, version int64, t *Term) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.row, e.version, e.term, e.changedAt = r, version, t, e.clock()
+}
+
+// write replaces the row at the given version and returns its new version. If the
+// outcome of the write is unknown, it reads the row back.
+func (e *Election) write(ctx context.Context, r Row, version int64) (int64, error) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
+	defer cancel()
+	res, err := e.store.Commit(ctx, store.Tx{
+		Expect: []store.Expect{{Key: RowKey, Version: version}},
+		Put:    []store.Put{{Key: RowKey, Value: r.encode()}},
+	})
+	if err == nil {
+		return res.Version, nil
+	}
+	if !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrUnknown) {
+		return 0, err
+	}
+	found, readErr := store.Get(ctx, e.store, RowKey)
+	if readErr != nil {
+		return 0, fmt.Errorf("%w; read back: %w", err, readErr)
+	}
+	stored, decodeErr := DecodeRow(found.Value)
+	if decodeErr == nil && stored == r {
+		return found.Version, nil
+	}
+	e.observe(stored, found.Version)
+	return 0, err
+}
--- a/internal/host/leader/term.go
+++ b/internal/host/leader/term.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// Term is one time of leadership of this host.
+// Term is a term of leadership that this host holds or held.
 type Term struct {
-	number int64
-	over   chan struct{} // closed when it ends
-	mu     sync.Mutex
-	wrote  time.Time // when the last write that took effect was sent
+	number    int64
+	done      chan struct{} // closed when the term ends
+	mu        sync.Mutex
+	renewedAt time.Time // when the last successful write of the row was sent
 }
 
-// NewTerm returns a term that was begun by a write of the leader row that was sent
-// at a time.
+// NewTerm returns a term that began with a write of the leader row sent at the
+// given time.
 func NewTerm(number int64, sent time.Time) *Term {
-	return &Term{number: number, wrote: sent, over: make(chan struct{})}
+	return &Term{number: number, renewedAt: sent, done: make(chan struct{})}
 }
 
-// Number returns the term, the fencing token of its orders.
+// Number returns the number of the term, which is the fencing token of its orders.
 func (t *Term) Number() int64 { return t.number }
 
-// Over returns a channel that is closed when the term ends.
-func (t *Term) Over() <-chan struct{} { return t.over }
+// Done returns a channel that is closed when the term ends.
+func (t *Term) Done() <-chan struct{} { return t.done }
 
-// Valid reports whether the leader may still give orders.
-func (t *Term) Valid(now time.Time) bool { return now.Sub(t.written()) < Grace }
+// Valid reports whether the leader may still send orders.
+func (t *Term) Valid(now time.Time) bool { return now.Sub(t.lastRenewal()) < Grace }
 
-// Fresh reports whether the row was written so lately that nobody can have
-// taken it over.
-func (t *Term) Fresh(now time.Time) bool { return now.Sub(t.written()) < Lease }
+// LeaseHeld reports whether the row was written recently enough that no other host
+// can have taken it over.
+func (t *Term) LeaseHeld(now time.Time) bool { return now.Sub(t.lastRenewal()) < Lease }
 
-func (t *Term) written() time.Time {
+func (t *Term) lastRenewal() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.wrote
+	return t.renewedAt
 }
 
-func (t *Term) write(at time.Time) {
+func (t *Term) renewed(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.wrote = at
+	t.renewedAt = at
 }
--- a/internal/host/station/station.go
+++ b/internal/host/station/station.go
@@ -129,7 +129,7 @@
 		exchange.WithAdopted(s.adopted), exchange.WithCounted(func() burn.Snapshot { return s.burn.Snapshot(time.Now()) }),
 	)
 	s.net = peer.New(s.exchange.Handle, set.peerTLS, nil, log)
-	s.election = leader.New(s.store, s.exchange, s.desk.Lead, holder, id.Peers, log, leader.WithPower(id.Power))
+	s.election = leader.New(s.store, s.exchange, s.desk.Lead, holder, id.Peers, log, leader.WithCores(id.Power))
 	s.entry = entry.New(s.store, s.exchange, s.exchange, log)
 	s.exchange.Bind(s.net, s.election, s.entry)
 	return s
--- a/internal/proof/deployment/rig_test.go
+++ b/internal/proof/deployment/rig_test.go
@@ -127,7 +127,7 @@
 	desk := dispatcher.New(gauge, h.line, r.shared, dispatch.DefaultBounds(), log, dispatcher.WithClock(time.Now))
 	x := exchange.New(h.address, desk, catalog.NewKeeper(nil), gauge.Up, exchange.WithPower(1))
 	h.net = peer.New(x.Handle, nil, r.wires.dial(h.address), logr.Discard())
-	h.election = leader.New(gauge, x, desk.Lead, fmt.Sprintf("%s#%d", name, life), h.address, log, leader.WithClock(time.Now), leader.WithDraw(r.draw()))
+	h.election = leader.New(gauge, x, desk.Lead, fmt.Sprintf("%s#%d", name, life), h.address, log, leader.WithClock(time.Now), leader.WithRandom(r.draw()))
 	h.entry = entry.New(gauge, x, x, log)
 	x.Bind(h.net, h.election, h.entry)
 	go gauge.Follow(ctx)
@@ -193,7 +193,7 @@
 // leader returns the host that leads, or nil.
 func (r *rig) leader() *host {
 	for _, h := range r.hosts {
-		if !h.dead && h.election.Own() != nil {
+		if !h.dead && h.election.OwnTerm() != nil {
 			return h
 		}
 	}
--- a/internal/proof/deployment/takeover_test.go
+++ b/internal/proof/deployment/takeover_test.go
@@ -90,7 +90,7 @@
 				old := r.leader()
 				old.link.Set(trouble)
 				time.Sleep(4 * time.Second)
-				is.True(old.election.Own() == nil) // it was refused by a fence
+				is.True(old.election.OwnTerm() == nil) // it was refused by a fence
 				is.True(r.leader() != nil)
 				time.Sleep(2 * time.Second)
 				old.link.Set(rows.Trouble{})
