--- a/internal/host/leader/election_test.go
+++ b/internal/host/leader/election_test.go
@@ -115,9 +115,9 @@
 		return ctx.Err()
 	}
 	randN := rand.New(rand.NewPCG(seed, 2)).Int64N
-	gauge := store.NewGauge(h.link, leader.RowKey, func(up bool, _ error) { h.StoreChanged(up) })
-	h.Election = leader.New(gauge, peers, lead, name+"#1", name, logr.Discard(), leader.WithClock(time.Now), leader.WithRandom(randN), leader.WithCores(1))
-	go gauge.Follow(ctx)
+	monitor := store.NewMonitor(h.link, leader.RowKey, func(up bool, _ error) { h.StoreChanged(up) })
+	h.Election = leader.New(monitor, peers, lead, name+"#1", name, logr.Discard(), leader.WithClock(time.Now), leader.WithRandom(randN), leader.WithCores(1))
+	go monitor.Run(ctx)
 	go func() {
 		h.Run(ctx)
 		close(h.done)
