--- a/internal/host/dispatcher/asking.go
+++ b/internal/host/dispatcher/asking.go
@@ -22,7 +22,7 @@
 // State returns what clients may be told of a job, and whether the leader knows
 // it.
 func (d *Dispatcher) State(ctx context.Context, id graph.JobID) (told view.Told, known bool, err error) {
-	err = d.ask(ctx, func(m *dispatch.Machine, _ time.Time) { told, known = m.Told(id) })
+	err = d.ask(ctx, func(m *dispatch.Machine, _ time.Time) { told, known = m.Status(id) })
 	return told, known, err
 }
 
--- a/internal/host/dispatcher/carry.go
+++ b/internal/host/dispatcher/carry.go
@@ -25,11 +25,11 @@
 		o.order(func() { o.start(c) })
 	case dispatch.Stop:
 		o.order(func() { o.stop(c) })
-	case dispatch.Hold:
+	case dispatch.Poll:
 		o.order(func() { o.hold(c) })
 	case dispatch.Save:
 		o.spawn(func() { o.save(c) })
-	case dispatch.Settled:
+	case dispatch.JobEnded:
 		o.settled(c)
 	case dispatch.Forget:
 		o.spawn(func() { o.forget(c) })
@@ -53,7 +53,7 @@
 	}
 	known := o.evacuations()
 	age := o.clock().Sub(known.AsOf)
-	return !known.Has(zone) && (o.bounds.EvacuationAge == 0 || age <= o.bounds.EvacuationAge)
+	return !known.Has(zone) && (o.bounds.MaxEvacuationAge == 0 || age <= o.bounds.MaxEvacuationAge)
 }
 
 func (o *office) start(c dispatch.Start) {
@@ -122,20 +122,20 @@
 	o.post(func(now time.Time) { o.machine.Advised(c, granted, valid, asked, err, now) })
 }
 
-func (o *office) hold(c dispatch.Hold) {
+func (o *office) hold(c dispatch.Poll) {
 	rep, err := o.report(c)
 	o.post(func(now time.Time) {
 		if err != nil {
-			o.machine.HoldFailed(c.Target.ID, c, err, now)
+			o.machine.PollFailed(c.Target.ID, c, err, now)
 			return
 		}
-		o.machine.Held(c.Target.ID, c, rep, now)
+		o.machine.Polled(c.Target.ID, c, rep, now)
 	})
 }
 
 // report asks for a report. One that waits for an end at its target is no load
 // meanwhile, and takes no place among the orders in flight.
-func (o *office) report(c dispatch.Hold) (rep order.Report, err error) {
+func (o *office) report(c dispatch.Poll) (rep order.Report, err error) {
 	if c.Order.Wait == 0 {
 		_, err = o.give(c.Class, holdExtra, func(ctx context.Context) (int64, error) {
 			rep, err = o.line.Hold(ctx, c.Target, c.Order)
@@ -232,13 +232,13 @@
 		o.post(func(time.Time) { o.machine.Depose() })
 		return
 	}
-	found := make([]dispatch.Found, 0, len(c.Rows))
+	found := make([]dispatch.StoredRow, 0, len(c.Rows))
 	same := true
 	for _, r := range c.Rows {
 		row := there[ProgressKey(c.Part, r.Job)]
 		_, cancelled := there[CancelKey(c.Part, r.Job)]
 		same = same && bytes.Equal(row.Value, r.Value) && row.Version > r.Version
-		found = append(found, dispatch.Found{Job: r.Job, Version: row.Version, Cancelled: cancelled && r.Completes})
+		found = append(found, dispatch.StoredRow{Job: r.Job, Version: row.Version, Cancelled: cancelled && r.Completes})
 	}
 	if same { // an earlier try took effect
 		version := there[ProgressKey(c.Part, c.Rows[0].Job)].Version
--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -56,7 +56,7 @@
 	adviser order.Adviser // nil: none
 	metrics tally.Scope
 	keeper  *catalog.Keeper // nil: no configuration
-	settled func(dispatch.Settled)
+	settled func(dispatch.JobEnded)
 	// evacuations tells which zones are evacuated; nil: none ever is.
 	evacuations func() evacuation.Status
 	// regained returns a channel that is closed when the store serves this host again.
@@ -80,7 +80,7 @@
 func WithAdviser(a order.Adviser) Option { return func(d *Dispatcher) { d.adviser = a } }
 
 // WithOutcomes sets who is told of jobs that have ended. It must not block.
-func WithOutcomes(f func(dispatch.Settled)) Option { return func(d *Dispatcher) { d.settled = f } }
+func WithOutcomes(f func(dispatch.JobEnded)) Option { return func(d *Dispatcher) { d.settled = f } }
 
 // WithCatalog sets where the configuration in force is found. Without one no
 // account has a guarantee.
@@ -101,13 +101,13 @@
 
 // New returns a dispatcher that does not lead yet.
 func New(s store.Store, l order.Line, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
-	b.Parts, b.ListAge = Parts, max(b.DrainTime-startSpare, 3*b.DrainTime/4)
-	d := &Dispatcher{store: s, line: l, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, settled: func(dispatch.Settled) {}, regained: func() <-chan struct{} { return nil }, log: log}
+	b.Parts, b.MaxListAge = Parts, max(b.DrainTime-startSpare, 3*b.DrainTime/4)
+	d := &Dispatcher{store: s, line: l, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, settled: func(dispatch.JobEnded) {}, regained: func() <-chan struct{} { return nil }, log: log}
 	for _, o := range opts {
 		o(d)
 	}
 	if d.evacuations != nil && b.EvacuateTime > 0 {
-		d.bounds.EvacuationAge = max(b.EvacuateTime-startSpare, 3*b.EvacuateTime/4)
+		d.bounds.MaxEvacuationAge = max(b.EvacuateTime-startSpare, 3*b.EvacuateTime/4)
 	}
 	return d
 }
@@ -187,7 +187,7 @@
 		}()
 	}
 	now := o.clock()
-	o.machine.SetWall(o.clock.WallOffset())
+	o.machine.SetWallOffset(o.clock.WallOffset())
 	for i := range Parts {
 		r := <-results
 		if r.err != nil {
@@ -243,7 +243,7 @@
 	o.set(o)
 	o.every(o.bounds.DrainTime/2, listed, o.list) // the list is most of what an idle leader reads
 	o.every(scanEvery, o.clock(), o.scan)
-	o.machine.Begin(heirEnd, o.clock())
+	o.machine.EnablePlacement(heirEnd, o.clock())
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
 	for {
@@ -251,7 +251,7 @@
 		if o.evacuations != nil {
 			o.machine.SetEvacuated(o.evacuations(), now)
 		}
-		o.machine.SetAhead(o.gate.Ahead())
+		o.machine.SetMaxPendingStarts(o.gate.Ahead())
 		o.machine.SetOrderTime(o.gate.Spent())
 		for _, c := range o.machine.Decide(now) {
 			o.carryOut(c, now)
@@ -260,7 +260,7 @@
 			return errNewerTerm
 		}
 		var due <-chan time.Time
-		if at, more := o.machine.Due(now); more {
+		if at, more := o.machine.NextDecision(now); more {
 			due = time.After(max(at.Sub(now), 0))
 		}
 		select {
@@ -271,7 +271,7 @@
 		case <-due:
 		case <-tick.C:
 			o.configure()
-			o.machine.SetWall(o.clock.WallOffset())
+			o.machine.SetWallOffset(o.clock.WallOffset())
 			o.machine.Tick(o.clock())
 			o.count()
 		}
@@ -284,7 +284,7 @@
 	c := o.machine.Counts()
 	sure, usable := o.machine.Guarantees()
 	for name, n := range map[string]int{
-		"jobs": c.Jobs, "targets": c.Targets, "targets_held": c.Held, "runs": c.Runs, "steps_waiting": c.Open,
+		"jobs": c.Jobs, "targets": c.Targets, "targets_held": c.Reachable, "runs": c.Runs, "steps_waiting": c.OpenSteps,
 		"zones_evacuated": c.Evacuated, "accelerators_usable": usable, "accelerators_guaranteed": sure,
 	} {
 		o.metrics.Gauge(name).Update(float64(n))
@@ -293,7 +293,7 @@
 	l := o.gate.Load()
 	if now := o.clock(); l.Waiting > 0 && now.Sub(o.toldWaiting) >= time.Second {
 		o.toldWaiting = now
-		o.log.Info("orders wait", "waiting", l.Waiting, "oldestMS", l.Oldest.Milliseconds(), "limit", l.Limit, "perSecond", int(l.Rate), "delayMS", l.Delay.Milliseconds(), "stepsWaiting", c.Open)
+		o.log.Info("orders wait", "waiting", l.Waiting, "oldestMS", l.Oldest.Milliseconds(), "limit", l.Limit, "perSecond", int(l.Rate), "delayMS", l.Delay.Milliseconds(), "stepsWaiting", c.OpenSteps)
 	}
 	o.metrics.Gauge("orders_limit").Update(float64(l.Limit))
 	o.metrics.Gauge("orders_waiting").Update(float64(l.Waiting))
@@ -339,7 +339,7 @@
 		asOf := o.clock()
 		list, err := o.targets(o.ctx, storeTime)
 		if err == nil {
-			o.machine.Listed(list, asOf, o.clock())
+			o.machine.UpdateTargets(list, asOf, o.clock())
 			return asOf, nil
 		}
 		if o.ctx.Err() != nil {
@@ -421,7 +421,7 @@
 		return err
 	}
 	o.listing = listPatience(o.clock().Sub(asOf))
-	o.post(func(now time.Time) { o.machine.Listed(list, asOf, now) })
+	o.post(func(now time.Time) { o.machine.UpdateTargets(list, asOf, now) })
 	return nil
 }
 
--- a/internal/host/dispatcher/guards_test.go
+++ b/internal/host/dispatcher/guards_test.go
@@ -65,7 +65,7 @@
 		o := desk(rows.New(0), line, taken, taken.Add(c.after))
 		o.start(dispatch.Start{})
 		o.stop(dispatch.Stop{})
-		o.hold(dispatch.Hold{})
+		o.hold(dispatch.Poll{})
 		o.pace(dispatch.Pace{})
 		is.Equal(*line, sends{c.sent, c.sent, c.sent, c.sent})
 	}
@@ -126,7 +126,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		o := desk(rows.New(0), &slowReports{}, time.Now(), time.Now())
-		_, err := o.report(dispatch.Hold{})
+		_, err := o.report(dispatch.Poll{})
 		is.NoErr(err)
 	})
 }
--- a/internal/host/dispatcher/listing_test.go
+++ b/internal/host/dispatcher/listing_test.go
@@ -41,7 +41,7 @@
 		is.True(len(r.asked) > 5)
 		for i := range r.asked[1:] {
 			oldest := r.asked[i+1].Sub(r.asked[i]) + r.takes
-			is.True(oldest <= d.bounds.ListAge) // the list that is known when the next one comes
+			is.True(oldest <= d.bounds.MaxListAge) // the list that is known when the next one comes
 		}
 	})
 }
--- a/internal/host/dispatcher/regained_test.go
+++ b/internal/host/dispatcher/regained_test.go
@@ -151,7 +151,7 @@
 		time.Sleep(1200 * time.Millisecond)
 		lists := s.lists()
 		is.True(len(lists) > before)
-		is.True(lists[before].Sub(lists[before-1]) <= d.bounds.ListAge)
+		is.True(lists[before].Sub(lists[before-1]) <= d.bounds.MaxListAge)
 		<-ctx.Done()
 		time.Sleep(time.Second)
 	})
--- a/internal/host/station/station.go
+++ b/internal/host/station/station.go
@@ -149,7 +149,7 @@
 }
 
 // recordOutcome counts a job that ended, for the burn report.
-func (s *Station) recordOutcome(d dispatch.Settled) {
+func (s *Station) recordOutcome(d dispatch.JobEnded) {
 	objectives := s.keeper.Now().Objectives()
 	well := d.State == progress.Completed
 	if objectives[d.Job.Service].Within == 0 {
--- a/internal/work/dispatch/advice.go
+++ b/internal/work/dispatch/advice.go
@@ -14,15 +14,15 @@
 
 // Figures of advice.
 const (
-	// mostNamed bounds the targets that one call names; the service takes a
+	// maxAdviceTargets bounds the targets that one call names; the service takes a
 	// hundred. Thirty are about what a step of the usual width needs, if a part of
 	// them is allowed.
-	mostNamed = 30
+	maxAdviceTargets = 30
 	// ticketMargin is kept of a ticket's time: for the note in the store and the
 	// way to the target.
 	ticketMargin = 200 * time.Millisecond
-	// adviceRest is the pause after a call that was refused or not answered.
-	adviceRest = 250 * time.Millisecond
+	// advicePause is the pause after a call that was refused or not answered.
+	advicePause = 250 * time.Millisecond
 )
 
 // Advise asks which targets may run a step. The answer goes to Machine.Advised.
@@ -36,7 +36,7 @@
 // permits is what is known of the targets that may run a step.
 type permits struct {
 	tickets map[string]ticket // by target
-	barred  map[string]bool   // targets that may not, as long as they live
+	denied  map[string]bool   // targets that may not, as long as they live
 }
 
 type ticket struct {
@@ -57,19 +57,19 @@
 // ticket returns the ticket to start the step on a target; empty for none.
 func (s *step) ticket(t *target) string { return s.permits.tickets[t.ID].text }
 
-// seekAdvice asks for leave to run a step that waits, on targets that could take
+// requestAdvice asks for leave to run a step that waits, on targets that could take
 // its tasks: those with room first.
-func (m *Machine) seekAdvice(s *step, now time.Time) {
-	if !s.job.spec.Advised || m.advising || now.Before(m.adviseAt) {
+func (m *Machine) requestAdvice(s *step, now time.Time) {
+	if !s.job.spec.Advised || m.advicePending || now.Before(m.nextAdviceAt) {
 		return
 	}
 	var names []string
 	for _, withRoom := range []bool{true, false} {
-		for _, t := range m.byID {
-			if len(names) == mostNamed || s.permits.barred[t.ID] || s.permitted(t, now) || !s.couldSuit(t, now) {
+		for _, t := range m.targetsByID {
+			if len(names) == maxAdviceTargets || s.permits.denied[t.ID] || s.permitted(t, now) || !s.eligibleWithoutAdvice(t, now) {
 				continue
 			}
-			if s.spec.Charge().Within(t.room()) == withRoom {
+			if s.spec.Charge().Within(t.freeCapacity()) == withRoom {
 				names = append(names, t.ID)
 			}
 		}
@@ -77,18 +77,18 @@
 	if len(names) == 0 {
 		return
 	}
-	m.advising = true
-	m.out = append(m.out, Advise{Step: s.id, Targets: names})
+	m.advicePending = true
+	m.commands = append(m.commands, Advise{Step: s.id, Targets: names})
 }
 
 // Advised takes in the answer of the advice service: leave for some of the
 // targets that were named, for a time from when the answer was sent at the
 // earliest. err tells that there is no answer.
 func (m *Machine) Advised(a Advise, granted []order.Permit, valid time.Duration, asked time.Time, err error, now time.Time) {
-	m.advising = false
-	m.changed = true
+	m.advicePending = false
+	m.placementDue = true
 	if err != nil {
-		m.adviseAt = now.Add(adviceRest)
+		m.nextAdviceAt = now.Add(advicePause)
 		m.log.Decided("no advice", "step", a.Step, "targets", len(a.Targets), "error", err.Error())
 		return
 	}
@@ -98,16 +98,16 @@
 	}
 	m.log.Decided("advice", "step", a.Step, "targets", len(a.Targets), "granted", len(granted), "validMS", valid.Milliseconds())
 	if s.permits.tickets == nil {
-		s.permits = permits{tickets: map[string]ticket{}, barred: map[string]bool{}}
+		s.permits = permits{tickets: map[string]ticket{}, denied: map[string]bool{}}
 	}
 	if valid == 0 {
 		valid = s.job.spec.AdviceValid
 	}
 	for _, id := range a.Targets {
-		s.permits.barred[id] = true
+		s.permits.denied[id] = true
 	}
 	for _, g := range granted {
-		delete(s.permits.barred, g.Target)
+		delete(s.permits.denied, g.Target)
 		s.permits.tickets[g.Target] = ticket{text: g.Ticket, until: asked.Add(valid)}
 	}
 }
@@ -118,7 +118,7 @@
 	if j == nil {
 		return nil
 	}
-	if x := j.find(id.Task(0)); x != nil {
+	if x := j.findTask(id.Task(0)); x != nil {
 		return x.step
 	}
 	return nil
--- a/internal/work/dispatch/advice_test.go
+++ b/internal/work/dispatch/advice_test.go
@@ -23,11 +23,11 @@
 		name := fmt.Sprintf("t%d", i)
 		list = append(list, roster.Target{ID: name, Address: name, Service: "s", Capacity: graph.Resources{CPU: 64000, MemoryMB: 262144, Accelerators: 8}})
 	}
-	s.Listed(list, s.now, s.now)
+	s.UpdateTargets(list, s.now, s.now)
 	for _, l := range list {
-		s.Held(l.ID, Hold{Sent: s.now}, order.Report{Clock: 5000}, s.now)
+		s.Polled(l.ID, Poll{Sent: s.now}, order.Report{Clock: 5000}, s.now)
 	}
-	s.Begin(s.now, s.now)
+	s.EnablePlacement(s.now, s.now)
 	j := one("00000000000000ba", tasks)
 	j.Advised, j.AdviceValid = true, 3*time.Second
 	s.Accept(j, s.now)
@@ -89,7 +89,7 @@
 	asked := commands[Advise](s)
 	s.Advised(asked[0], nil, 0, s.now, errors.New("busy"), s.now)
 	is.Equal(len(commands[Advise](s)), 0)
-	s.now = s.now.Add(adviceRest)
+	s.now = s.now.Add(advicePause)
 	s.Tick(s.now)
 	is.Equal(len(commands[Advise](s)), 1)
 }
--- a/internal/work/dispatch/arriving.go
+++ b/internal/work/dispatch/arriving.go
@@ -20,10 +20,10 @@
 	}
 	j := newJob(spec, PartOf(spec.ID, m.bounds.Parts), now)
 	m.jobs[spec.ID] = j
-	m.noteSize(spec)
+	m.updateSmallestTask(spec)
 	m.log.Decided("job", "job", spec.ID, "queue", spec.Queue, "account", spec.Account, "priority", spec.Priority, "steps", len(spec.Steps), "tasks", spec.Tasks(), "objectiveMS", j.objective.Milliseconds(), "accepted", spec.AcceptedAt)
-	m.openJob(j, now)
-	m.changed = true
+	m.openDueOccurrences(j, now)
+	m.placementDue = true
 }
 
 // Restore takes in a job that was accepted before this term, with its progress
@@ -34,35 +34,35 @@
 	}
 	j := newJob(spec, PartOf(spec.ID, m.bounds.Parts), now)
 	j.version, j.cancelled = version, cancelled
-	m.noteSize(spec)
+	m.updateSmallestTask(spec)
 	m.jobs[spec.ID] = j
 	if p != nil {
-		j.state, j.shown, j.started, j.endedAt = p.State, p.State, p.Started, p.Ended
+		j.state, j.published, j.started, j.endedAt = p.State, p.State, p.Started, p.Ended
 	}
 	if j.cancelled && !j.state.Final() {
-		j.state, j.shown, j.endedAt = progress.Cancelled, progress.Cancelled, m.wallMS(now)
+		j.state, j.published, j.endedAt = progress.Cancelled, progress.Cancelled, m.wallMS(now)
 	}
 	if j.state.Final() {
-		j.openAll()
+		j.createAllOccurrences()
 		return
 	}
-	m.openJob(j, now)
+	m.openDueOccurrences(j, now)
 	if p != nil {
-		m.resume(j, p, now)
+		m.restoreProgress(j, p, now)
 	}
 }
 
-// openAll opens every occurrence without making its steps ready, so that runs
+// createAllOccurrences opens every occurrence without making its steps ready, so that runs
 // of them which are found can be named.
-func (j *job) openAll() {
+func (j *job) createAllOccurrences() {
 	for j.opened < j.spec.Occurrences() {
-		j.open()
+		j.createOccurrence()
 	}
 }
 
-// resume applies saved progress. Steps of occurrences that are not due yet are
+// restoreProgress applies saved progress. Steps of occurrences that are not due yet are
 // opened, since something of them has ended.
-func (m *Machine) resume(j *job, p *progress.Job, now time.Time) {
+func (m *Machine) restoreProgress(j *job, p *progress.Job, now time.Time) {
 	keys := make([]string, 0, len(p.Steps))
 	for k := range p.Steps {
 		keys = append(keys, k)
@@ -75,9 +75,9 @@
 			continue
 		}
 		for j.opened <= occurrence {
-			m.openNext(j, now)
+			m.openNextOccurrence(j, now)
 		}
-		m.resumeStep(j.steps[occurrence*len(j.spec.Steps)+index], p.Steps[k], now)
+		m.restoreStep(j.steps[occurrence*len(j.spec.Steps)+index], p.Steps[k], now)
 	}
 }
 
@@ -88,9 +88,9 @@
 	return occurrence, step, found && err1 == nil && err2 == nil && occurrence >= 0 && step >= 0
 }
 
-func (m *Machine) resumeStep(s *step, k *progress.Step, now time.Time) {
+func (m *Machine) restoreStep(s *step, k *progress.Step, now time.Time) {
 	if s.spec.Gang {
-		s.tried.failed, s.saved = k.Failures[0], k.Saved[0]
+		s.gangAttempts.failed, s.savedCheckpoint = k.Failures[0], k.Saved[0]
 	}
 	placed := map[int][]progress.Place{}
 	for _, p := range k.Placed {
@@ -98,82 +98,82 @@
 	}
 	for _, x := range s.tasks {
 		if !s.spec.Gang {
-			x.own.failed, x.saved = k.Failures[x.index], k.Saved[x.index]
+			x.ownAttempts.failed, x.savedCheckpoint = k.Failures[x.index], k.Saved[x.index]
 		}
-		x.highest = k.Runs[x.index]
+		x.highestRun = k.Runs[x.index]
 		for _, p := range placed[x.index] {
-			x.highest = max(x.highest, p.Run)
+			x.highestRun = max(x.highestRun, p.Run)
 		}
-		s.gangRun = max(s.gangRun, x.highest)
+		s.gangRun = max(s.gangRun, x.highestRun)
 		if k.Done != nil && k.Done.Bit(x.index) == 1 {
-			m.done(x, 0, now)
+			m.taskDone(x, 0, now)
 		}
 		if !x.done {
 			for _, p := range placed[x.index] {
-				m.inherit(x, p, now)
+				m.restoreRun(x, p, now)
 			}
 		}
 	}
 }
 
-// inherit takes over a run that an earlier leader noted. It exists until its
+// restoreRun takes over a run that an earlier leader noted. It exists until its
 // target reports without it, or its leases have lapsed.
-func (m *Machine) inherit(x *task, p progress.Place, now time.Time) {
+func (m *Machine) restoreRun(x *task, p progress.Place, now time.Time) {
 	t := m.targets[p.Target]
 	if t == nil { // Listed tells the rest, if it is still there
 		t = m.addTarget(roster.Target{ID: p.Target})
 	}
 	r := &run{
 		Run: order.Run{Task: x.id(), Number: p.Run}, task: x, target: t, charge: x.step.spec.Charge(),
-		phase: inherited, placedAt: now, settledAt: now, share: shareOf(x.step),
+		phase: unconfirmed, placedAt: now, orderAnsweredAt: now, paceShare: initialShare(x.step),
 	}
 	x.runs = append(x.runs, r)
-	x.step.job.live[r] = true
+	x.step.job.liveRuns[r] = true
 	x.step.job.started = true
 	t.runs[r.Run] = r
 	t.used = t.used.Plus(r.charge)
 }
 
-// openJob opens the occurrences that are due.
-func (m *Machine) openJob(j *job, now time.Time) {
+// openDueOccurrences opens the occurrences that are due.
+func (m *Machine) openDueOccurrences(j *job, now time.Time) {
 	if j.spec.Repeat > 0 && j.opened == 0 && !slices.Contains(m.recurring, j) {
 		m.recurring = append(m.recurring, j)
 	}
 	for j.opened < j.spec.Occurrences() && j.spec.Due(j.opened) <= m.wallMS(now) {
-		m.openNext(j, now)
+		m.openNextOccurrence(j, now)
 	}
 }
 
-func (m *Machine) openNext(j *job, now time.Time) {
-	for _, s := range j.open() {
+func (m *Machine) openNextOccurrence(j *job, now time.Time) {
+	for _, s := range j.createOccurrence() {
 		if s.blocked == 0 {
-			m.ready(s, now)
+			m.stepUnblocked(s, now)
 		}
 	}
 }
 
-// openDue opens occurrences whose time has come.
-func (m *Machine) openDue(now time.Time) {
-	m.recurring = slices.DeleteFunc(m.recurring, (*job).over)
+// openRecurring opens occurrences whose time has come.
+func (m *Machine) openRecurring(now time.Time) {
+	m.recurring = slices.DeleteFunc(m.recurring, (*job).finished)
 	for _, j := range m.recurring {
-		m.openJob(j, now)
+		m.openDueOccurrences(j, now)
 	}
 }
 
-// ready puts a step among those that have tasks to start.
-func (m *Machine) ready(s *step, now time.Time) {
-	m.wake(s, now)
+// stepUnblocked puts a step among those that have tasks to start.
+func (m *Machine) stepUnblocked(s *step, now time.Time) {
+	m.enqueueStep(s, now)
 }
 
-// wake puts a step that may have a task to start among the open ones.
-func (m *Machine) wake(s *step, _ time.Time) {
-	if s.blocked > 0 || s.done || s.job.over() || s.listedOpen {
+// enqueueStep puts a step that may have a task to start among the open ones.
+func (m *Machine) enqueueStep(s *step, _ time.Time) {
+	if s.blocked > 0 || s.done || s.job.finished() || s.queued {
 		return
 	}
-	s.listedOpen = true
-	m.open = append(m.open, s)
-	m.fresh = append(m.fresh, s)
-	m.changed = true
+	s.queued = true
+	m.openSteps = append(m.openSteps, s)
+	m.newSteps = append(m.newSteps, s)
+	m.placementDue = true
 }
 
 // Cancel takes in that a job's cancelling is stored.
@@ -184,17 +184,17 @@
 }
 
 func (m *Machine) cancel(j *job, now time.Time) {
-	if j.shown.Final() || j.cancelled {
+	if j.published.Final() || j.cancelled {
 		return
 	}
-	m.log.Decided("job cancelled", "job", j.spec.ID, "queue", j.spec.Queue, "runs", len(j.live))
+	m.log.Decided("job cancelled", "job", j.spec.ID, "queue", j.spec.Queue, "runs", len(j.liveRuns))
 	j.cancelled = true
-	j.shown = progress.Cancelled
-	m.end(j, progress.Cancelled, now)
+	j.published = progress.Cancelled
+	m.endJob(j, progress.Cancelled, now)
 }
 
-// orphan returns the step of a run of which nothing is known.
-func orphan(r order.Run) *step {
+// unknownStep returns the step of a run of which nothing is known.
+func unknownStep(r order.Run) *step {
 	spec := &graph.Job{ID: r.Task.Job, Steps: []graph.Step{{}}}
 	j := newJob(spec, 0, time.Time{})
 	j.cancelled = true
--- a/internal/work/dispatch/backlog_test.go
+++ b/internal/work/dispatch/backlog_test.go
@@ -41,7 +41,7 @@
 
 // begin has the machine start what it would, and has all starts answered.
 func (d *drive) begin() {
-	d.m.passAt = time.Time{} // no pause since the last pass
+	d.m.nextPassAt = time.Time{} // no pause since the last pass
 	for _, c := range ordered(d) {
 		d.m.StartAnswered(c.Target.ID, c.Order.Run, 1, nil, d.now)
 	}
@@ -53,19 +53,19 @@
 func TestNoMoreThanTheHostCanOrder(t *testing.T) {
 	is := is.New(t)
 	d := newDrive(t, 6, 8, DefaultBounds())
-	d.m.SetAhead(40)
+	d.m.SetMaxPendingStarts(40)
 	wide := small(200)
 	d.m.Accept(d.jobOf(1, 2, wide), d.now)
 	first := ordered(d)
 	is.Equal(len(first), 40)
-	d.now = d.now.Add(aheadRest)
+	d.now = d.now.Add(backlogPause)
 	is.Equal(len(ordered(d)), 0) // none was answered
 	d.m.Accept(d.jobOf(2, 0, urgent(4, 1)), d.now)
 	is.Equal(len(ordered(d)), 4)
 	for _, c := range first {
 		d.m.StartAnswered(c.Target.ID, c.Order.Run, 1, nil, d.now)
 	}
-	d.now = d.now.Add(aheadRest)
+	d.now = d.now.Add(backlogPause)
 	is.Equal(len(ordered(d)), 36) // beside the four urgent ones
 }
 
@@ -74,14 +74,14 @@
 func TestSilentTargetIsNoBacklog(t *testing.T) {
 	is := is.New(t)
 	d := newDrive(t, 6, 8, DefaultBounds())
-	d.m.SetAhead(40)
+	d.m.SetMaxPendingStarts(40)
 	d.m.Accept(d.jobOf(1, 2, small(60)), d.now)
 	first := ordered(d)
 	is.Equal(len(first), 40)
 	for _, c := range first {
 		d.m.StartAnswered(c.Target.ID, c.Order.Run, 0, order.ErrUnanswered, d.now)
 	}
-	d.now = d.now.Add(aheadRest)
+	d.now = d.now.Add(backlogPause)
 	is.Equal(len(ordered(d)), 20)
 }
 
@@ -91,13 +91,13 @@
 	b := DefaultBounds()
 	d := newDrive(t, 6, 8, b)
 	d.m.SetGuarantees(map[string]int{"a": 100})
-	d.m.SetAhead(4)
+	d.m.SetMaxPendingStarts(4)
 	d.m.Accept(d.jobOf(1, 0, urgent(4, 1)), d.now)
 	is.Equal(len(ordered(d)), 4)
 	d.m.Accept(d.jobOf(2, 0, urgent(4, 1)), d.now)
 	is.Equal(len(ordered(d)), 0)
-	d.now = d.now.Add(b.ReclaimTime - b.StopTime - reclaimMargin + 10*time.Millisecond)
-	d.m.Listed(d.p.Roster(), d.now, d.now)
+	d.now = d.now.Add(b.ReclaimTime - b.MaxStopTime - reclaimMargin + 10*time.Millisecond)
+	d.m.UpdateTargets(d.p.Roster(), d.now, d.now)
 	is.Equal(len(ordered(d)), 4)
 }
 
@@ -115,10 +115,10 @@
 	const slow = 500 * time.Millisecond
 	d.m.SetOrderTime(slow)
 	d.m.Accept(d.jobOf(2, 0, urgent(4, 8)), d.now)
-	s := d.m.open[len(d.m.open)-1]
-	usual := b.ReclaimTime - b.StopTime - reclaimMargin
-	is.True(!d.m.mustBegin(s, d.now.Add(usual-2*slow-10*time.Millisecond)))
-	is.True(d.m.mustBegin(s, d.now.Add(usual-2*slow+10*time.Millisecond)))
+	s := d.m.openSteps[len(d.m.openSteps)-1]
+	usual := b.ReclaimTime - b.MaxStopTime - reclaimMargin
+	is.True(!d.m.guaranteeDue(s, d.now.Add(usual-2*slow-10*time.Millisecond)))
+	is.True(d.m.guaranteeDue(s, d.now.Add(usual-2*slow+10*time.Millisecond)))
 	is.Equal(d.m.startClass(s, d.now.Add(usual)), limiter.Due)
 	is.Equal(d.m.startClass(s, d.now), limiter.Start)
 }
--- a/internal/work/dispatch/broken.go
+++ b/internal/work/dispatch/broken.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// brokenRun is what is known of the end of a gang's run.
-type brokenRun struct {
-	number  int          // of the run
-	members map[int]bool // tasks that ended since another member had ended
+// gangEnd is what is known of the end of a gang's run.
+type gangEnd struct {
+	number        int          // of the run
+	brokenMembers map[int]bool // tasks that ended since another member had ended
 }
 
-// memberBroken notes that a gang's member ended since another one had.
-func (m *Machine) memberBroken(r *run, now time.Time) {
+// recordBrokenMember notes that a gang's member ended since another one had.
+func (m *Machine) recordBrokenMember(r *run, now time.Time) {
 	s := r.task.step
 	if !s.spec.Gang {
 		return
 	}
-	if s.broken.number != r.Number {
-		s.broken = brokenRun{number: r.Number, members: map[int]bool{}}
+	if s.gangEnd.number != r.Number {
+		s.gangEnd = gangEnd{number: r.Number, brokenMembers: map[int]bool{}}
 	}
-	s.broken.members[r.task.index] = true
+	s.gangEnd.brokenMembers[r.task.index] = true
 	for _, x := range s.tasks {
 		for _, o := range slices.Clone(x.runs) {
-			m.releaseCause(o, now)
+			m.releaseFirstEnded(o, now)
 		}
 	}
 }
 
-// releaseCause gives up a gang's members on a silent target if the one that ended first
+// releaseFirstEnded gives up a gang's members on a silent target if the one that ended first
 // must be among them: all others ended since another had. Those beside it ended with it,
 // as their target knows of both. Without this the gang would wait until the leases have
 // lapsed on a target that lost power, or under a new leader until those of its
 // predecessor have. One may have failed, which the target tells when it answers again:
 // that counts as an attempt until its leases have lapsed. A run that may have been the
 // last attempt is not given up, and stays noted for the next leader.
-func (m *Machine) releaseCause(r *run, now time.Time) {
+func (m *Machine) releaseFirstEnded(r *run, now time.Time) {
 	s, t := r.task.step, r.target
-	if !s.spec.Gang || t.reach == held || t.runs[r.Run] != r || !s.firstEndedOn(t, r.Number) || s.mayBeSpent(1, now) {
+	if !s.spec.Gang || t.reach == reachable || t.runs[r.Run] != r || !s.firstEndedOn(t, r.Number) || s.attemptsMayBeExhausted(1, now) {
 		return
 	}
 	m.log.Decided("run must have ended", "target", t.ID, "task", r.Task, "run", r.Number, "members", len(s.tasks))
-	s.tried.doubt(r.Number, t.leaseEnd)
-	for _, o := range t.runsThat(func(o *run) bool { return o.task.step == s && o.Number == r.Number }) {
+	s.gangAttempts.recordUncertain(r.Number, t.leaseEnd)
+	for _, o := range t.runsWhere(func(o *run) bool { return o.task.step == s && o.Number == r.Number }) {
 		m.release(o, now)
-		m.endOnce(o, now)
+		m.failIfOnce(o, now)
 	}
 }
 
 // firstEndedOn reports whether the member of a gang's run that ended first must have been
 // on a target.
 func (s *step) firstEndedOn(t *target, number int) bool {
-	if s.broken.number != number || len(s.broken.members) == 0 {
+	if s.gangEnd.number != number || len(s.gangEnd.brokenMembers) == 0 {
 		return false
 	}
 	for _, x := range s.tasks {
-		if !s.broken.members[x.index] && !x.runsOn(t, number) {
+		if !s.gangEnd.brokenMembers[x.index] && !x.runsOn(t, number) {
 			return false
 		}
 	}
@@ -67,7 +67,7 @@
 	return slices.ContainsFunc(x.runs, func(r *run) bool { return r.target == t && r.Number == number })
 }
 
-// mayBeSpent reports whether a gang may have no attempt left if so many more failed.
-func (s *step) mayBeSpent(more int, now time.Time) bool {
-	return s.tried.mostFailed(now)+more >= max(s.job.spec.MaxAttempts, 1)
+// attemptsMayBeExhausted reports whether a gang may have no attempt left if so many more failed.
+func (s *step) attemptsMayBeExhausted(more int, now time.Time) bool {
+	return s.gangAttempts.maxFailed(now)+more >= max(s.job.spec.MaxAttempts, 1)
 }
--- a/internal/work/dispatch/broken_test.go
+++ b/internal/work/dispatch/broken_test.go
@@ -18,7 +18,7 @@
 		return c.Target.ID
 	case Stop:
 		return c.Target.ID
-	case Hold:
+	case Poll:
 		return c.Target.ID
 	}
 	return ""
@@ -67,20 +67,20 @@
 	s := d.m.jobs[id].steps[0]
 	cut := s.tasks[1].runs[0].target
 	d.lose = func(c Command) bool { return targetOf(c) == cut.ID }
-	s.broken = brokenRun{number: 1, members: map[int]bool{}}
+	s.gangEnd = gangEnd{number: 1, brokenMembers: map[int]bool{}}
 	for _, x := range s.tasks {
-		s.broken.members[x.index] = x.runs[0].target != cut
+		s.gangEnd.brokenMembers[x.index] = x.runs[0].target != cut
 	}
 	for _, x := range s.tasks { // listed as failed, and released
 		if x.runs[0].target != cut {
-			delete(s.broken.members, x.index)
+			delete(s.gangEnd.brokenMembers, x.index)
 			d.m.release(x.runs[0], d.now)
 			break
 		}
 	}
-	cut.reach = silent
+	cut.reach = unreachable
 	is.True(!s.firstEndedOn(cut, 1))
-	d.m.releaseCause(s.tasks[1].runs[0], d.now)
+	d.m.releaseFirstEnded(s.tasks[1].runs[0], d.now)
 	is.Equal(len(s.tasks[1].runs), 1)
 }
 
@@ -125,8 +125,8 @@
 	cut := s.tasks[1].runs[0].target
 	d.lose = func(c Command) bool { return targetOf(c) == cut.ID }
 	d.run(4500 * time.Millisecond) // the second fails, and the target is known to be silent
-	is.Equal(cut.reach, silent)
-	is.Equal(len(s.broken.members), 2)
+	is.Equal(cut.reach, unreachable)
+	is.Equal(len(s.gangEnd.brokenMembers), 2)
 	is.Equal(s.gangRun, 2)
 	is.Equal(len(s.tasks[1].runs), 1) // still noted, for a successor
 	d.lose = nil
@@ -142,12 +142,12 @@
 	is := is.New(t)
 	var a attempts
 	now := time.Unix(1000, 0)
-	a.doubt(1, now.Add(5*time.Second))
-	is.Equal(a.mostFailed(now), 1)
-	is.True(a.fail(2, &target{}, now))
-	is.Equal(a.mostFailed(now), 2)
-	is.True(a.fail(1, &target{}, now)) // it is told
-	is.Equal(a.mostFailed(now), 2)
-	a.doubt(3, now.Add(5*time.Second))
-	is.Equal(a.mostFailed(now.Add(6*time.Second)), 2) // its leases have lapsed
+	a.recordUncertain(1, now.Add(5*time.Second))
+	is.Equal(a.maxFailed(now), 1)
+	is.True(a.recordFailure(2, &target{}, now))
+	is.Equal(a.maxFailed(now), 2)
+	is.True(a.recordFailure(1, &target{}, now)) // it is told
+	is.Equal(a.maxFailed(now), 2)
+	a.recordUncertain(3, now.Add(5*time.Second))
+	is.Equal(a.maxFailed(now.Add(6*time.Second)), 2) // its leases have lapsed
 }
--- a/internal/work/dispatch/clearing_test.go
+++ b/internal/work/dispatch/clearing_test.go
@@ -64,8 +64,8 @@
 	d.submit(2, 6*time.Second, small(32))
 	d.run(1500 * time.Millisecond)
 	d.lose = func(c Command) bool {
-		h, ok := c.(Hold)
-		return ok && !h.Look
+		h, ok := c.(Poll)
+		return ok && !h.Extra
 	}
 	d.run(1500 * time.Millisecond) // the holds that were answered are asked again, and lost
 	id := d.submit(0, 2500*time.Millisecond, urgent(2, 8))
--- a/internal/work/dispatch/command.go
+++ b/internal/work/dispatch/command.go
@@ -29,24 +29,24 @@
 	Class  limiter.Class // in which it waits for its turn
 }
 
-// Hold asks for a report of a target. The answer goes to Machine.Held or
+// Poll asks for a report of a target. The answer goes to Machine.Held or
 // Machine.HoldFailed. A target has one hold outstanding at most, and beside it
 // one look.
-type Hold struct {
+type Poll struct {
 	Target order.Address
 	Order  order.Hold
 	Class  limiter.Class // in which it waits for its turn, unless it waits for an end
-	Look   bool          // beside a hold that may have been lost
+	Extra  bool          // beside a hold that may have been lost
 	Sent   time.Time     // when the machine asked for it
 }
 
-// due returns the moment from which the report was missed that failed at a time: one that
-// waits for an end is not due before its wait is over, or its connection broke.
-func (h Hold) due(failed time.Time) time.Time {
-	if due := h.Sent.Add(h.Order.Wait); due.Before(failed) {
+// missedSince returns the moment from which the report was missed that failed at a time: one that
+// waits for an end is not missedSince before its wait is over, or its connection broke.
+func (h Poll) missedSince(failedAt time.Time) time.Time {
+	if due := h.Sent.Add(h.Order.Wait); due.Before(failedAt) {
 		return due
 	}
-	return failed
+	return failedAt
 }
 
 // Save asks for a transaction that writes the progress of jobs of one part. The
@@ -72,17 +72,17 @@
 	Jobs []graph.JobID // never empty
 }
 
-// Settled tells that a job has ended, by itself and not by its client, and that
+// JobEnded tells that a job has ended, by itself and not by its client, and that
 // this is saved. There is no answer.
-type Settled struct {
+type JobEnded struct {
 	Job   *graph.Job // must not be changed
 	State progress.State
 	Took  time.Duration // from its acceptance
 }
 
-func (Start) command()   {}
-func (Stop) command()    {}
-func (Hold) command()    {}
-func (Save) command()    {}
-func (Forget) command()  {}
-func (Settled) command() {}
+func (Start) command()    {}
+func (Stop) command()     {}
+func (Poll) command()     {}
+func (Save) command()     {}
+func (Forget) command()   {}
+func (JobEnded) command() {}
--- a/internal/work/dispatch/drive_test.go
+++ b/internal/work/dispatch/drive_test.go
@@ -62,7 +62,7 @@
 	}
 	d.m = New(1, b, WithLog(d))
 	d.list()
-	d.m.Begin(d.now, d.now)
+	d.m.EnablePlacement(d.now, d.now)
 	d.decide()
 	d.run(100 * time.Millisecond)
 	return d
@@ -70,7 +70,7 @@
 
 // list has the machine read the list of targets.
 func (d *drive) list() {
-	d.m.Listed(d.p.Roster(), d.now, d.now)
+	d.m.UpdateTargets(d.p.Roster(), d.now, d.now)
 	d.decide()
 }
 
@@ -125,7 +125,7 @@
 	for _, c := range d.m.Decide(d.now) {
 		d.carryOut(c)
 	}
-	if at, due := d.m.Due(d.now); due && !d.woken {
+	if at, due := d.m.NextDecision(d.now); due && !d.woken {
 		d.woken = true
 		d.after(max(at.Sub(d.now), 0), func() { d.woken = false })
 	}
@@ -154,9 +154,9 @@
 		d.give(lost, func() (int64, error) { return d.p.Stop(c.Target, c.Run, d.m.Term(), d.now) }, func(clock int64, err error) {
 			d.m.StopAnswered(c.Target.ID, c.Run, clock, err, d.now)
 		})
-	case Hold:
+	case Poll:
 		if lost {
-			d.after(c.Order.Wait+600*time.Millisecond, func() { d.m.HoldFailed(c.Target.ID, c, order.ErrUnanswered, d.now) })
+			d.after(c.Order.Wait+600*time.Millisecond, func() { d.m.PollFailed(c.Target.ID, c, order.ErrUnanswered, d.now) })
 			return
 		}
 		d.after(oneWay, func() { d.hold(c, d.now.Add(c.Order.Wait)) })
@@ -182,7 +182,7 @@
 }
 
 // hold answers a hold once there is an end to tell or its time is over.
-func (d *drive) hold(c Hold, until time.Time) {
+func (d *drive) hold(c Poll, until time.Time) {
 	rep, err := d.p.Hold(c.Target, c.Order, d.now)
 	if err == nil && len(rep.Ended) == 0 && d.now.Before(until) {
 		d.after(driveStep, func() { d.hold(c, until) })
@@ -190,10 +190,10 @@
 	}
 	d.after(oneWay, func() {
 		if err != nil {
-			d.m.HoldFailed(c.Target.ID, c, err, d.now)
+			d.m.PollFailed(c.Target.ID, c, err, d.now)
 			return
 		}
-		d.m.Held(c.Target.ID, c, rep, d.now)
+		d.m.Polled(c.Target.ID, c, rep, d.now)
 	})
 }
 
--- a/internal/work/dispatch/ending.go
+++ b/internal/work/dispatch/ending.go
@@ -11,11 +11,11 @@
 )
 
 // sortedRuns returns the target's runs in a fixed order.
-func (t *target) sortedRuns() []*run { return t.runsThat(func(*run) bool { return true }) }
+func (t *target) sortedRuns() []*run { return t.runsWhere(func(*run) bool { return true }) }
 
-// runsThat returns those of the target's runs that a condition holds for, in a fixed
+// runsWhere returns those of the target's runs that a condition holds for, in a fixed
 // order.
-func (t *target) runsThat(holds func(*run) bool) []*run {
+func (t *target) runsWhere(holds func(*run) bool) []*run {
 	var runs []*run
 	for _, r := range t.runs {
 		if holds(r) {
@@ -32,7 +32,7 @@
 		cmp.Compare(x.Index, y.Index), cmp.Compare(a.Number, b.Number))
 }
 
-func without[T comparable](list []T, v T) []T {
+func removeFrom[T comparable](list []T, v T) []T {
 	return slices.DeleteFunc(list, func(o T) bool { return o == v })
 }
 
@@ -44,30 +44,30 @@
 		return
 	}
 	delete(t.runs, r.Run)
-	if r.phase == waiting {
-		t.promised = t.promised.Minus(r.charge)
+	if r.phase == awaitingCapacity {
+		t.reserved = t.reserved.Minus(r.charge)
 	} else {
 		t.used = t.used.Minus(r.charge)
 	}
-	r.task.runs = without(r.task.runs, r)
-	delete(r.task.step.job.live, r)
-	m.changed, m.recheck = true, true
-	m.wake(r.task.step, now)
+	r.task.runs = removeFrom(r.task.runs, r)
+	delete(r.task.step.job.liveRuns, r)
+	m.placementDue, m.recheckWaiting = true, true
+	m.enqueueStep(r.task.step, now)
 }
 
-// endOnce ends a job that may be run only once, after one of its runs that may
+// failIfOnce ends a job that may be run only once, after one of its runs that may
 // have begun is over and its task is not done: it must not be started again.
-func (m *Machine) endOnce(r *run, now time.Time) {
+func (m *Machine) failIfOnce(r *run, now time.Time) {
 	j := r.task.step.job
-	if !j.spec.Once || r.task.done || j.over() || r.phase == waiting || r.phase == noted {
+	if !j.spec.Once || r.task.done || j.finished() || r.phase == awaitingCapacity || r.phase == recorded {
 		return
 	}
 	m.log.Decided("job may have run, and is not started again", "job", j.spec.ID, "task", r.Task, "run", r.Number)
-	m.end(j, progress.Failed, now)
+	m.endJob(j, progress.Failed, now)
 }
 
-// ended takes in an end that a target lists for the first time.
-func (m *Machine) ended(t *target, e order.Ended, now time.Time) {
+// runEnded takes in an end that a target lists for the first time.
+func (m *Machine) runEnded(t *target, e order.Ended, now time.Time) {
 	r := t.runs[e.Run]
 	if r != nil {
 		m.release(r, now)
@@ -75,51 +75,51 @@
 	j := m.jobs[e.Run.Task.Job]
 	if j == nil {
 		m.log.Decided("end of an unknown job", "target", t.ID, "task", e.Run.Task, "run", e.Run.Number, "how", e.How)
-		t.ends = append(t.ends, mark{number: e.Number})
+		t.unackedEnds = append(t.unackedEnds, unackedEnd{number: e.Number})
 		return
 	}
 	m.log.Decided("run ended", "target", t.ID, "task", e.Run.Task, "run", e.Run.Number, "how", e.How, "number", e.Number, "checkpoint", e.Checkpoint)
-	if x := j.find(e.Run.Task); x != nil {
-		x.highest = max(x.highest, e.Run.Number)
+	if x := j.findTask(e.Run.Task); x != nil {
+		x.highestRun = max(x.highestRun, e.Run.Number)
 		x.step.gangRun = max(x.step.gangRun, e.Run.Number)
-		if m.takeEnd(x, t, r, e, now) {
-			m.touch(j)
+		if m.applyEnd(x, t, r, e, now) {
+			m.markDirty(j)
 		}
 	}
 	if r != nil {
-		m.endOnce(r, now)
+		m.failIfOnce(r, now)
 		if e.How == order.Broken {
-			m.memberBroken(r, now)
+			m.recordBrokenMember(r, now)
 		}
 	}
 	// Also an end that changes nothing waits for what is not saved yet: another
 	// member's end may have ended the whole gang a moment ago, and must not be
 	// the only one that is left if that save fails.
-	t.ends = append(t.ends, mark{number: e.Number, job: j, rev: j.rev})
+	t.unackedEnds = append(t.unackedEnds, unackedEnd{number: e.Number, job: j, rev: j.rev})
 }
 
-// takeEnd applies an end to its task and reports whether the job's progress has
+// applyEnd applies an end to its task and reports whether the job's progress has
 // changed. Ends of a job that is over change nothing; but what they tell of the
 // target counts. r is nil for a run that was not known.
-func (m *Machine) takeEnd(x *task, t *target, r *run, e order.Ended, now time.Time) bool {
+func (m *Machine) applyEnd(x *task, t *target, r *run, e order.Ended, now time.Time) bool {
 	s := x.step
-	if s.job.over() || x.done {
+	if s.job.finished() || x.done {
 		return false
 	}
 	if e.How == order.Done && !s.spec.Lasting {
 		if r != nil {
 			t.health.Succeeded(r.beganAt, now)
 		}
-		m.done(x, e.Run.Number, now)
+		m.taskDone(x, e.Run.Number, now)
 		return true
 	}
-	saved := x.keep(e.Checkpoint)
+	saved := x.saveCheckpoint(e.Checkpoint)
 	if e.How == order.Failed && !s.spec.Lasting {
-		m.failure(x, t, r, e.Run.Number, now)
+		m.runFailed(x, t, r, e.Run.Number, now)
 		return true
 	}
 	if e.How == order.Failed {
-		x.pausedTo = now.Add(lastingPause)
+		x.pausedUntil = now.Add(lastingPause)
 	}
 	return saved
 }
@@ -129,56 +129,56 @@
 // which a missing task counts against us is left for the start.
 const lastingPause = 500 * time.Millisecond
 
-// keep takes a checkpoint over and reports whether it is a new one.
-func (x *task) keep(checkpoint string) bool {
+// saveCheckpoint takes a checkpoint over and reports whether it is a new one.
+func (x *task) saveCheckpoint(checkpoint string) bool {
 	if checkpoint == "" || !x.step.spec.Checkpointing {
 		return false
 	}
 	if x.step.spec.Gang {
-		if x.step.saved == checkpoint {
+		if x.step.savedCheckpoint == checkpoint {
 			return false
 		}
-		x.step.saved = checkpoint
+		x.step.savedCheckpoint = checkpoint
 		return true
 	}
-	if x.saved == checkpoint {
+	if x.savedCheckpoint == checkpoint {
 		return false
 	}
-	x.saved = checkpoint
+	x.savedCheckpoint = checkpoint
 	return true
 }
 
-// done takes in that a run of a task is done; of a gang, all its tasks are. The
+// taskDone takes in that a run of a task is taskDone; of a gang, all its tasks are. The
 // number is 0 where it is not known.
-func (m *Machine) done(x *task, run int, now time.Time) {
+func (m *Machine) taskDone(x *task, run int, now time.Time) {
 	s := x.step
 	s.doneRun, s.doneAt = run, now
 	if !s.spec.Gang {
-		m.doneOne(x, now)
+		m.markTaskDone(x, now)
 	} else {
 		for _, y := range s.tasks {
-			m.doneOne(y, now)
+			m.markTaskDone(y, now)
 		}
 	}
-	if s.undone > 0 || s.done {
+	if s.tasksLeft > 0 || s.done {
 		return
 	}
 	s.done = true
-	s.job.undone--
+	s.job.stepsLeft--
 	for _, n := range s.next {
 		if n.blocked--; n.blocked == 0 {
-			m.ready(n, now)
+			m.stepUnblocked(n, now)
 		}
 	}
-	m.endIfDone(s.job, now)
+	m.completeIfDone(s.job, now)
 }
 
-func (m *Machine) doneOne(x *task, now time.Time) {
+func (m *Machine) markTaskDone(x *task, now time.Time) {
 	if x.done {
 		return
 	}
 	x.done = true
-	x.step.undone--
+	x.step.tasksLeft--
 	if x.step.spec.Gang {
 		return // the others are listed as done, too
 	}
@@ -187,24 +187,24 @@
 	}
 }
 
-// endIfDone ends a job whose occurrences are all done.
-func (m *Machine) endIfDone(j *job, now time.Time) {
-	if j.undone > 0 || j.opened < j.spec.Occurrences() || j.over() {
+// completeIfDone ends a job whose occurrences are all done.
+func (m *Machine) completeIfDone(j *job, now time.Time) {
+	if j.stepsLeft > 0 || j.opened < j.spec.Occurrences() || j.finished() {
 		return
 	}
-	m.end(j, progress.Completed, now)
+	m.endJob(j, progress.Completed, now)
 }
 
-// end gives a job its final state.
-func (m *Machine) end(j *job, s progress.State, now time.Time) {
+// endJob gives a job its final state.
+func (m *Machine) endJob(j *job, s progress.State, now time.Time) {
 	j.state, j.endedAt = s, m.wallMS(now)
-	m.touch(j)
-	for _, r := range j.sortedLive() {
+	m.markDirty(j)
+	for _, r := range j.sortedLiveRuns() {
 		if !r.endedWithGang(s) {
 			m.stop(r, "its job has ended", now)
 		}
 	}
-	m.open = slices.DeleteFunc(m.open, func(s *step) bool { return s.job == j })
+	m.openSteps = slices.DeleteFunc(m.openSteps, func(s *step) bool { return s.job == j })
 }
 
 // endedWithGang reports whether a run of a job in a final state has ended on its
@@ -216,50 +216,50 @@
 	return s == progress.Completed && step.spec.Gang && r.phase == running && r.Number == step.doneRun
 }
 
-// sortedLive returns the job's runs that may exist, in a fixed order.
-func (j *job) sortedLive() []*run {
-	runs := make([]*run, 0, len(j.live))
-	for r := range j.live {
+// sortedLiveRuns returns the job's runs that may exist, in a fixed order.
+func (j *job) sortedLiveRuns() []*run {
+	runs := make([]*run, 0, len(j.liveRuns))
+	for r := range j.liveRuns {
 		runs = append(runs, r)
 	}
 	slices.SortFunc(runs, compareRuns)
 	return runs
 }
 
-// failure counts a failed run against its task, or its gang, and the target. A
+// runFailed counts a failed run against its task, or its gang, and the target. A
 // run counts once. r is nil for a run that was not known.
-func (m *Machine) failure(x *task, t *target, r *run, number int, now time.Time) {
-	s, a := x.step, x.tried()
-	if !a.fail(number, t, now) {
+func (m *Machine) runFailed(x *task, t *target, r *run, number int, now time.Time) {
+	s, a := x.step, x.attempts()
+	if !a.recordFailure(number, t, now) {
 		return
 	}
-	s.failedOn(t)
-	worked := m.worked(r, now)
+	s.recordFailedTarget(t)
+	worked := m.timeWorked(r, now)
 	early := soundness.Early(worked, s.spec.Estimate)
 	if early {
-		a.earlyAt = now
+		a.earlyFailureAt = now
 	}
 	first := len(a.failed) == 1 // one that failed before is perhaps itself at fault
-	if s.blames() && (first || early) {
+	if s.implicatesTargets() && (first || early) {
 		was := t.health.Condemned(now)
 		t.health.Failed(worked, s.spec.Estimate, now)
-		m.suspect(t, was, "a run failed there after "+worked.String(), x.id(), now)
+		m.logIfQuarantined(t, was, "a run failed there after "+worked.String(), x.id(), now)
 	}
 	if len(a.failed) >= s.job.spec.MaxAttempts {
 		m.log.Decided("job failed", "job", s.job.spec.ID, "task", x.id(), "failures", len(a.failed), "target", t.ID)
-		m.end(s.job, progress.Failed, now)
+		m.endJob(s.job, progress.Failed, now)
 	}
 }
 
-// seenRunning takes in a run that a target has.
-func (m *Machine) seenRunning(t *target, seen order.Running, asked, now time.Time) {
+// runReported takes in a run that a target has.
+func (m *Machine) runReported(t *target, seen order.Running, asked, now time.Time) {
 	r := t.runs[seen.Run]
 	if r == nil {
 		r = m.adopt(t, seen, now)
 	}
-	if r.phase == starting || r.phase == inherited {
-		m.began(r, now)
-		if r.task.step.job.over() || r.task.done {
+	if r.phase == starting || r.phase == unconfirmed {
+		m.runBegan(r, now)
+		if r.task.step.job.finished() || r.task.done {
 			m.stop(r, "its job has ended", now)
 		}
 	}
@@ -268,28 +268,28 @@
 	}
 	if r.phase == running && seen.Checkpoint != "" {
 		r.checkpoint = seen.Checkpoint
-		r.task.keep(seen.Checkpoint)
+		r.task.saveCheckpoint(seen.Checkpoint)
 	}
 	r.gauge = seen.Gauge
-	r.progressed(seen.Percent, now)
+	r.updateProgress(seen.Percent, now)
 }
 
 // adopt takes over a run that was not started in this term, or whose life was
 // believed over. It is stopped if it must not go on: its job is not known or
 // over, its task is done or runs elsewhere.
 func (m *Machine) adopt(t *target, seen order.Running, now time.Time) *run {
-	r := &run{Run: seen.Run, target: t, phase: running, placedAt: now, beganAt: now, settledAt: now}
+	r := &run{Run: seen.Run, target: t, phase: running, placedAt: now, beganAt: now, orderAnsweredAt: now}
 	j := m.jobs[seen.Run.Task.Job]
 	var x *task
 	if j != nil {
-		x = j.find(seen.Run.Task)
+		x = j.findTask(seen.Run.Task)
 	}
 	reason := ""
 	switch {
 	case x == nil:
-		x = &task{step: orphan(seen.Run), index: seen.Run.Task.Index}
+		x = &task{step: unknownStep(seen.Run), index: seen.Run.Task.Index}
 		reason = "its job is not known"
-	case j.over():
+	case j.finished():
 		reason = "its job has ended"
 	case x.done:
 		reason = "its task is done"
@@ -299,14 +299,14 @@
 		reason = "its step is not due"
 	}
 	r.task = x
-	r.charge, r.share = x.step.spec.Charge(), shareOf(x.step)
-	if j == nil || j.find(seen.Run.Task) == nil {
+	r.charge, r.paceShare = x.step.spec.Charge(), initialShare(x.step)
+	if j == nil || j.findTask(seen.Run.Task) == nil {
 		r.charge = t.Capacity.Minus(t.used) // not known what it takes: no other work beside it
 	}
-	x.highest = max(x.highest, seen.Run.Number)
+	x.highestRun = max(x.highestRun, seen.Run.Number)
 	x.step.gangRun = max(x.step.gangRun, seen.Run.Number)
 	x.runs = append(x.runs, r)
-	x.step.job.live[r] = true
+	x.step.job.liveRuns[r] = true
 	t.runs[r.Run] = r
 	t.used = t.used.Plus(r.charge)
 	m.log.Decided("run found", "target", t.ID, "task", seen.Run.Task, "run", seen.Run.Number, "stop", reason)
--- a/internal/work/dispatch/evacuating.go
+++ b/internal/work/dispatch/evacuating.go
@@ -26,24 +26,24 @@
 			m.restoreZone(zone)
 		}
 	}
-	m.changed, m.recheck = true, true
-	m.judgeGuarantees()
+	m.placementDue, m.recheckWaiting = true, true
+	m.checkGuarantees()
 }
 
 func (m *Machine) evacuate(zone string, now time.Time) {
 	targets, runs, unsent := 0, 0, 0
-	for _, t := range m.byID {
+	for _, t := range m.targetsByID {
 		if t.Zone != zone {
 			continue
 		}
 		t.evacuated = true
 		targets++
-		for _, r := range t.runsThat(func(r *run) bool { return r.phase == waiting || r.phase == noted }) {
+		for _, r := range t.runsWhere(func(r *run) bool { return r.phase == awaitingCapacity || r.phase == recorded }) {
 			if t.runs[r.Run] != r {
 				continue // given up with another member of its gang
 			}
 			unsent++
-			m.giveUpUnsent(r, "its zone is evacuated", now)
+			m.dropUnsent(r, "its zone is evacuated", now)
 		}
 		runs += len(t.runs)
 	}
@@ -52,7 +52,7 @@
 
 func (m *Machine) restoreZone(zone string) {
 	targets := 0
-	for _, t := range m.byID {
+	for _, t := range m.targetsByID {
 		if t.Zone == zone {
 			t.evacuated = false
 			targets++
@@ -61,62 +61,66 @@
 	m.log.Decided("zone restored", "zone", zone, "targets", targets)
 }
 
-// giveUpUnsent gives up a run whose start was not sent, and with it its gang.
-func (m *Machine) giveUpUnsent(r *run, why string, now time.Time) {
+// dropUnsent gives up a run whose start was not sent, and with it its gang.
+func (m *Machine) dropUnsent(r *run, why string, now time.Time) {
 	m.log.Decided("run given up before it was sent", "target", r.target.ID, "task", r.Task, "run", r.Number, "reason", why)
 	m.release(r, now)
 	m.stopGang(r, "a member was given up: "+why, now)
 }
 
-// evacuationsKnown reports whether what is known of evacuations is new enough to start
+// evacuationsAreCurrent reports whether what is known of evacuations is new enough to start
 // anything. A leader that no longer hears of them must not start work in a zone that
 // was evacuated meanwhile.
-func (m *Machine) evacuationsKnown(now time.Time) bool {
-	return m.bounds.EvacuationAge == 0 || now.Sub(m.evacuated.AsOf) <= m.bounds.EvacuationAge
+func (m *Machine) evacuationsAreCurrent(now time.Time) bool {
+	return m.bounds.MaxEvacuationAge == 0 || now.Sub(m.evacuated.AsOf) <= m.bounds.MaxEvacuationAge
 }
 
-// informed reports whether what is known of targets and zones is new enough to start
+// stateIsCurrent reports whether what is known of targets and zones is new enough to start
 // anything.
-func (m *Machine) informed(now time.Time) bool { return m.listFresh(now) && m.evacuationsKnown(now) }
+func (m *Machine) stateIsCurrent(now time.Time) bool {
+	return m.listIsCurrent(now) && m.evacuationsAreCurrent(now)
+}
 
-// takesStarts reports whether starts may be sent to the target, as far as operators and
+// acceptsStarts reports whether starts may be sent to the target, as far as operators and
 // the target itself say.
-func (t *target) takesStarts() bool { return !t.Draining && !t.evacuated }
+func (t *target) acceptsStarts() bool { return !t.Draining && !t.evacuated }
 
-// usable returns the accelerators of the targets that may get work.
-func (m *Machine) usable() int {
+// usableAccelerators returns the accelerators of the targets that may get work.
+func (m *Machine) usableAccelerators() int {
 	n := 0
-	for _, t := range m.byID {
-		if t.listed && t.takesStarts() {
+	for _, t := range m.targetsByID {
+		if t.listed && t.acceptsStarts() {
 			n += t.Capacity.Accelerators
 		}
 	}
 	return n
 }
 
-// guaranteedInAll returns the accelerators that are guaranteed to all accounts together.
-func (m *Machine) guaranteedInAll() int {
+// totalGuaranteed returns the accelerators that are guaranteed to all accounts together.
+func (m *Machine) totalGuaranteed() int {
 	n := 0
-	for _, sure := range m.guaranteed {
-		n += sure
+	for _, amount := range m.guaranteed {
+		n += amount
 	}
 	return n
 }
 
 // Guarantees returns the accelerators that are guaranteed to all accounts together, and
 // those of the targets that may get work.
-func (m *Machine) Guarantees() (guaranteed, usable int) { return m.guaranteedInAll(), m.usable() }
+func (m *Machine) Guarantees() (guaranteed, usable int) {
+	return m.totalGuaranteed(), m.usableAccelerators()
+}
 
-// judgeGuarantees tells when the guarantees cease to fit in the room that may be used,
+// checkGuarantees tells when the guarantees cease to fit in the room that may be used,
 // and when they fit again.
-func (m *Machine) judgeGuarantees() {
-	sure, room := m.guaranteedInAll(), m.usable()
-	if short := sure > room; short != m.short {
-		m.short = short
+func (m *Machine) checkGuarantees() {
+	guaranteed, usable := m.totalGuaranteed(), m.usableAccelerators()
+	if exceeded := guaranteed > usable; exceeded != m.guaranteesExceeded {
+		m.guaranteesExceeded = exceeded
 		what := "guarantees fit again"
-		if short {
+		if exceeded {
 			what = "guarantees exceed the room that may be used"
 		}
-		m.log.Decided(what, "guaranteed", sure, "usable", room, "evacuated", slices.Clone(m.evacuated.Zones))
+		m.log.Decided(what, "guaranteed", guaranteed, "usable", usable, "evacuated", slices.Clone(m.evacuated.Zones))
 	}
 }
--- a/internal/work/dispatch/evacuating_test.go
+++ b/internal/work/dispatch/evacuating_test.go
@@ -101,17 +101,17 @@
 		name := fmt.Sprintf("t%d", i)
 		list = append(list, roster.Target{ID: name, Address: name, Zone: "z" + name, Service: "s", Capacity: graph.Resources{CPU: 64000, MemoryMB: 262144, Accelerators: 8}})
 	}
-	s.Listed(list, s.now, s.now)
+	s.UpdateTargets(list, s.now, s.now)
 	for _, l := range list {
-		s.Held(l.ID, Hold{Sent: s.now}, order.Report{Clock: 5000}, s.now)
+		s.Polled(l.ID, Poll{Sent: s.now}, order.Report{Clock: 5000}, s.now)
 	}
-	s.Begin(s.now, s.now)
+	s.EnablePlacement(s.now, s.now)
 	s.Accept(one("00000000000000ba", 1), s.now)
 	first := commands[Start](s)
 	is.Equal(len(first), 1)
 	s.SetEvacuated(evacuation.Status{AsOf: s.now}.With(first[0].Zone), s.now)
 	s.StartAnswered(first[0].Target.ID, first[0].Order.Run, 0, fmt.Errorf("start: %w", order.ErrWithheld), s.now)
-	is.True(s.targets[first[0].Target.ID].inTouch())
+	is.True(s.targets[first[0].Target.ID].responsive())
 	second := commands[Start](s)
 	is.Equal(len(second), 1)
 	is.True(second[0].Zone != first[0].Zone)
@@ -147,7 +147,7 @@
 func TestNothingStartsByOldKnowledgeOfEvacuations(t *testing.T) {
 	is := is.New(t)
 	b := DefaultBounds()
-	b.EvacuationAge = 4 * time.Second
+	b.MaxEvacuationAge = 4 * time.Second
 	d := newDrive(t, 2, 1, b)
 	d.evacuate()
 	d.run(5 * time.Second)
@@ -169,9 +169,9 @@
 	m := New(1, DefaultBounds())
 	now := time.Unix(1000, 0)
 	m.SetEvacuated(evacuation.Status{AsOf: now}.With("z0"), now)
-	m.Listed([]roster.Target{{ID: "a", Zone: "z0"}, {ID: "b", Zone: "z1"}}, now, now)
-	is.True(!m.targets["a"].takesStarts())
-	is.True(m.targets["b"].takesStarts())
+	m.UpdateTargets([]roster.Target{{ID: "a", Zone: "z0"}, {ID: "b", Zone: "z1"}}, now, now)
+	is.True(!m.targets["a"].acceptsStarts())
+	is.True(m.targets["b"].acceptsStarts())
 	is.Equal(m.targets["a"].describe(now), "unheld")
 }
 
--- a/internal/work/dispatch/fit_test.go
+++ b/internal/work/dispatch/fit_test.go
@@ -21,7 +21,7 @@
 	d.submit(1, 8*time.Second, large(4, 1))
 	d.run(100 * time.Millisecond)
 	most := 0
-	for _, x := range d.m.byID {
+	for _, x := range d.m.targetsByID {
 		n := 0
 		for r := range x.runs {
 			if d.m.jobs[r.Task.Job].spec.Priority == 1 {
@@ -48,7 +48,7 @@
 		d.run(50 * time.Millisecond)
 	}
 	empty := 0
-	for _, x := range d.m.byID {
+	for _, x := range d.m.targetsByID {
 		if len(x.runs) == 0 {
 			empty++
 		}
@@ -76,7 +76,7 @@
 	s.DataRack = "r1-1"
 	d.submit(2, 2*time.Second, s)
 	d.run(100 * time.Millisecond)
-	for _, x := range d.m.byID {
+	for _, x := range d.m.targetsByID {
 		if x.Rack != "r1-1" {
 			is.Equal(len(x.runs), 0)
 		}
@@ -98,8 +98,8 @@
 func TestFitting(t *testing.T) {
 	is := is.New(t)
 	room := graph.Resources{CPU: 64000, MemoryMB: 262144, Accelerators: 8}
-	is.Equal(fitting(graph.Resources{CPU: 26000, MemoryMB: 75000, Accelerators: 1}, room), 2)
-	is.Equal(fitting(graph.Resources{Accelerators: 8}, room), 1)
-	is.Equal(fitting(graph.Resources{MemoryMB: 300000}, room), 0)
-	is.Equal(fitting(graph.Resources{CPU: 1}, graph.Resources{CPU: -5}), 0)
+	is.Equal(tasksThatFit(graph.Resources{CPU: 26000, MemoryMB: 75000, Accelerators: 1}, room), 2)
+	is.Equal(tasksThatFit(graph.Resources{Accelerators: 8}, room), 1)
+	is.Equal(tasksThatFit(graph.Resources{MemoryMB: 300000}, room), 0)
+	is.Equal(tasksThatFit(graph.Resources{CPU: 1}, graph.Resources{CPU: -5}), 0)
 }
--- a/internal/work/dispatch/forgetting.go
+++ b/internal/work/dispatch/forgetting.go
@@ -11,32 +11,32 @@
 	// forgetSlack is kept beyond the retention that clients were promised, for
 	// clocks that differ.
 	forgetSlack = 30 * time.Second
-	// forgetAtOnce bounds the jobs of one Forget: three rows each stay under the
+	// maxForgetJobs bounds the jobs of one Forget: three rows each stay under the
 	// store's 100 entries.
-	forgetAtOnce = 30
-	// forgetEvery is the time between two passes: rows are many and small, and
+	maxForgetJobs = 30
+	// forgetInterval is the time between two passes: rows are many and small, and
 	// nothing waits for them to go.
-	forgetEvery = 5 * time.Second
+	forgetInterval = 5 * time.Second
 )
 
 // forgetEnded asks to take out jobs whose state need not be told any more. They
 // stay known until that has happened, so a pass that failed is made again.
 func (m *Machine) forgetEnded(now time.Time) {
-	if now.Before(m.forgetAt) {
+	if now.Before(m.nextForgetAt) {
 		return
 	}
-	m.forgetAt = now.Add(forgetEvery)
-	limit := now.Add(m.wall - m.bounds.Retention - forgetSlack).UnixMilli()
+	m.nextForgetAt = now.Add(forgetInterval)
+	limit := now.Add(m.wallOffset - m.bounds.Retention - forgetSlack).UnixMilli()
 	byPart := map[int][]graph.JobID{}
 	for id, j := range m.jobs {
-		if j.shown.Final() && j.endedAt < limit && len(j.live) == 0 && !j.dirty && j.savedRev == j.rev {
+		if j.published.Final() && j.endedAt < limit && len(j.liveRuns) == 0 && !j.dirty && j.savedRev == j.rev {
 			byPart[j.part] = append(byPart[j.part], id)
 		}
 	}
 	for part := range m.parts {
 		if ids := byPart[part]; len(ids) > 0 {
 			slices.Sort(ids)
-			m.out = append(m.out, Forget{Part: part, Jobs: ids[:min(len(ids), forgetAtOnce)]})
+			m.commands = append(m.commands, Forget{Part: part, Jobs: ids[:min(len(ids), maxForgetJobs)]})
 		}
 	}
 }
--- a/internal/work/dispatch/gang.go
+++ b/internal/work/dispatch/gang.go
@@ -17,7 +17,7 @@
 			return true
 		}
 	}
-	if now.Before(s.pausedTo) || s.mayBeSpent(0, now) {
+	if now.Before(s.pausedUntil) || s.attemptsMayBeExhausted(0, now) {
 		return true
 	}
 	plan := m.planGang(s, now)
@@ -30,42 +30,42 @@
 	for i, x := range s.tasks {
 		runs[i] = m.place(x, plan[i], number, now)
 	}
-	m.startIfFits(runs)
+	m.recordIfFits(runs)
 	return true
 }
 
-// set is a set of targets that could hold a gang.
-type set struct {
+// targetSet is a targetSet of targets that could hold a gang.
+type targetSet struct {
 	targets []*target
 	far     int // how often the gang runs slower there by the far factor: 0 to 2
 }
 
-// sets returns the sets of targets that could hold the whole gang if they were
+// targetSets returns the targetSets of targets that could hold the whole gang if they were
 // empty, those first on which it runs fastest. A gang that wants one rack still
 // may run over several, and one whose data is on a rack on another, only slower.
-func (m *Machine) sets(s *step, now time.Time) []set {
-	m.considered += len(m.byID)
+func (m *Machine) targetSets(s *step, now time.Time) []targetSet {
+	m.considered += len(m.targetsByID)
 	var all []*target
-	var list []set
+	var list []targetSet
 	for _, rack := range m.racksInOrder() {
-		c := set{}
+		c := targetSet{}
 		if s.spec.DataRack != "" && rack[0].Rack != s.spec.DataRack {
 			c.far++
 		}
 		for _, t := range rack {
-			if s.suits(t, now) && !s.tasks[0].barred(t, now) {
+			if s.eligible(t, now) && !s.tasks[0].excludes(t, now) {
 				c.targets = append(c.targets, t)
 			}
 		}
 		all = append(all, c.targets...)
-		if s.holds(c.targets) {
+		if s.canFit(c.targets) {
 			list = append(list, c)
 		}
 	}
 	if !s.spec.SameRack && s.spec.DataRack == "" {
-		return []set{{targets: all}}
+		return []targetSet{{targets: all}}
 	}
-	everywhere := set{targets: all}
+	everywhere := targetSet{targets: all}
 	if s.spec.DataRack != "" {
 		everywhere.far++
 	}
@@ -73,7 +73,7 @@
 		everywhere.far++
 	}
 	list = append(list, everywhere)
-	slices.SortStableFunc(list, func(a, b set) int { return cmp.Compare(a.far, b.far) })
+	slices.SortStableFunc(list, func(a, b targetSet) int { return cmp.Compare(a.far, b.far) })
 	return list
 }
 
@@ -82,7 +82,7 @@
 	if m.racks != nil {
 		return m.racks
 	}
-	inOrder := slices.Clone(m.byID)
+	inOrder := slices.Clone(m.targetsByID)
 	slices.SortStableFunc(inOrder, func(a, b *target) int { return strings.Compare(a.Rack, b.Rack) })
 	for first, i := 0, 1; i <= len(inOrder); i++ {
 		if i == len(inOrder) || inOrder[i].Rack != inOrder[first].Rack {
@@ -93,26 +93,26 @@
 	return m.racks
 }
 
-// holds reports whether empty targets could hold the gang.
-func (s *step) holds(targets []*target) bool {
+// canFit reports whether empty targets could hold the gang.
+func (s *step) canFit(targets []*target) bool {
 	charge, n := s.spec.Charge(), 0
 	for _, t := range targets {
-		n += min(fitting(charge, t.Capacity), max(s.spread(t), 0))
+		n += min(tasksThatFit(charge, t.Capacity), max(s.perTargetLeft(t), 0))
 	}
 	return n >= len(s.tasks)
 }
 
-// fitting returns how many tasks fit into room.
-func fitting(charge, room graph.Resources) int {
+// tasksThatFit returns how many tasks fit into room.
+func tasksThatFit(charge, free graph.Resources) int {
 	n := maxTasksPerTarget
 	if charge.CPU > 0 {
-		n = min(n, room.CPU/charge.CPU)
+		n = min(n, free.CPU/charge.CPU)
 	}
 	if charge.MemoryMB > 0 {
-		n = min(n, room.MemoryMB/charge.MemoryMB)
+		n = min(n, free.MemoryMB/charge.MemoryMB)
 	}
 	if charge.Accelerators > 0 {
-		n = min(n, room.Accelerators/charge.Accelerators)
+		n = min(n, free.Accelerators/charge.Accelerators)
 	}
 	return max(n, 0)
 }
@@ -127,20 +127,20 @@
 // longer, which costs others more than its own wait: so it takes one only if it
 // must begin now, or if nothing can be earned any more by waiting.
 func (m *Machine) planGang(s *step, now time.Time) []*target {
-	slower := m.mustBegin(s, now) || m.wallMS(now) > s.lastStart()
-	full, may := m.pass.noRoomFor(s, slower), m.mayClear(s, now)
-	if full && !may {
-		m.holdBack(s, s.wanted)
+	slower := m.guaranteeDue(s, now) || m.wallMS(now) > s.latestStartForValue()
+	unplaceable, preempt := m.pass.isUnplaceable(s, slower), m.mayPreempt(s, now)
+	if unplaceable && !preempt {
+		m.reserve(s, s.reservation)
 		return nil
 	}
 	before := m.considered
-	sets := m.sets(s, now)
+	sets := m.targetSets(s, now)
 	for first := 0; first < len(sets); {
 		last := first
 		for last < len(sets) && sets[last].far == sets[first].far {
 			last++
 		}
-		if plan := m.planOn(s, sets[first:last], full, may, now); plan != nil {
+		if plan := m.planOn(s, sets[first:last], unplaceable, preempt, now); plan != nil {
 			return plan
 		}
 		if !slower {
@@ -148,11 +148,11 @@
 		}
 		first = last
 	}
-	m.pass.noteNoRoom(s, slower)
-	if may {
-		s.clearAt = now.Add(min(time.Duration(m.considered-before)*clearRest, clearEvery))
+	m.pass.recordUnplaceable(s, slower)
+	if preempt {
+		s.nextPreemptionAt = now.Add(min(time.Duration(m.considered-before)*preemptionPausePerTarget, maxPreemptionPause))
 	} else {
-		m.holdBack(s, s.wanted)
+		m.reserve(s, s.reservation)
 	}
 	return nil
 }
@@ -160,19 +160,19 @@
 // planOn plans a gang on one of the sets: the one that is left with the least
 // room or, if none has room and some may be cleared, the one that is cleared at the
 // least cost. full tells that none has room.
-func (m *Machine) planOn(s *step, sets []set, full, may bool, now time.Time) []*target {
+func (m *Machine) planOn(s *step, sets []targetSet, unplaceable, preempt bool, now time.Time) []*target {
 	var best []*target
 	bestLeft := 0
 	for _, c := range sets {
-		if full {
+		if unplaceable {
 			break
 		}
 		if plan, left := m.fill(s, c.targets, now); plan != nil && (best == nil || left < bestLeft) {
 			best, bestLeft = plan, left
 		}
 	}
-	if best == nil && may {
-		return m.clearForGang(s, sets, now)
+	if best == nil && preempt {
+		return m.preemptForGang(s, sets, now)
 	}
 	return best
 }
@@ -180,33 +180,33 @@
 // Times between two looks for room to clear for a step: a burst of urgent gangs would
 // otherwise take the whole processor of a host with many targets.
 const (
-	clearRest  = 50 * time.Microsecond  // for each target that was considered
-	clearEvery = 200 * time.Millisecond // at most, in which what runs changes little
+	preemptionPausePerTarget = 50 * time.Microsecond  // for each target that was considered
+	maxPreemptionPause       = 200 * time.Millisecond // at most, in which what runs changes little
 )
 
-// mayClear reports whether room may be cleared for a step now.
-func (m *Machine) mayClear(s *step, now time.Time) bool {
-	return s.job.spec.Priority == 0 && (!now.Before(s.clearAt) || m.mustBegin(s, now))
+// mayPreempt reports whether room may be cleared for a step now.
+func (m *Machine) mayPreempt(s *step, now time.Time) bool {
+	return s.job.spec.Priority == 0 && (!now.Before(s.nextPreemptionAt) || m.guaranteeDue(s, now))
 }
 
-// noRoom is a gang that found no room in this pass, nor will one that asks for more.
-type noRoom struct {
+// unplaceable is a gang that found no room in this pass, nor will one that asks for more.
+type unplaceable struct {
 	step   *step
 	slower bool // sets were tried on which it runs slower
 }
 
-// noteNoRoom notes that a gang found no room, unless it was kept from targets that
+// recordUnplaceable notes that a gang found no room, unless it was kept from targets that
 // others may use.
-func (p *pass) noteNoRoom(s *step, slower bool) {
-	if len(s.tried.avoid) == 0 && s.spec.PerTarget == 0 {
-		p.full = append(p.full, noRoom{s, slower})
+func (p *pass) recordUnplaceable(s *step, slower bool) {
+	if len(s.gangAttempts.avoidedTargets) == 0 && s.spec.PerTarget == 0 {
+		p.unplaceable = append(p.unplaceable, unplaceable{s, slower})
 	}
 }
 
-// noRoomFor reports whether a gang that asks for no more than this one found no room
+// isUnplaceable reports whether a gang that asks for no more than this one found no room
 // in this pass. Room only shrinks within one: what is stopped ends later.
-func (p *pass) noRoomFor(s *step, slower bool) bool {
-	for _, n := range p.full {
+func (p *pass) isUnplaceable(s *step, slower bool) bool {
+	for _, n := range p.unplaceable {
 		o := n.step
 		alike := o.job.spec.Service == s.job.spec.Service && o.spec.Label == s.spec.Label && o.spec.DataRack == s.spec.DataRack && o.spec.SameRack == s.spec.SameRack
 		if alike && (n.slower || !slower) && len(o.tasks) <= len(s.tasks) && o.spec.Charge().Within(s.spec.Charge()) {
@@ -220,15 +220,15 @@
 // returns how many accelerators of the set are left free then.
 func (m *Machine) fill(s *step, targets []*target, now time.Time) (plan []*target, left int) {
 	charge := s.spec.Charge()
-	room := make([]graph.Resources, len(targets))
+	free := make([]graph.Resources, len(targets))
 	slots := make([]int, len(targets))
 	total := 0
 	for i, t := range targets {
-		if !m.heldFor(t, s) {
-			room[i], slots[i] = t.room(), s.spread(t)
+		if !m.reservedForOther(t, s) {
+			free[i], slots[i] = t.freeCapacity(), s.perTargetLeft(t)
 		}
-		total += min(fitting(charge, room[i]), max(slots[i], 0))
-		left += room[i].Accelerators
+		total += min(tasksThatFit(charge, free[i]), max(slots[i], 0))
+		left += free[i].Accelerators
 	}
 	m.considered += len(targets)
 	if total < len(s.tasks) {
@@ -239,25 +239,25 @@
 		best := -1
 		var bestFit fit
 		for i, t := range targets {
-			if slots[i] <= 0 || !charge.Within(room[i]) {
+			if slots[i] <= 0 || !charge.Within(free[i]) {
 				continue
 			}
-			if f := m.fitOf(x, t, room[i], now); best < 0 || f.compare(bestFit) < 0 {
+			if f := m.fitOf(x, t, free[i], now); best < 0 || f.compare(bestFit) < 0 {
 				best, bestFit = i, f
 			}
 		}
-		room[best] = room[best].Minus(charge)
+		free[best] = free[best].Minus(charge)
 		slots[best]--
 		plan = append(plan, targets[best])
 	}
 	return plan, left - len(plan)*charge.Accelerators
 }
 
-// startIfFits notes runs that were just placed if the room for all of them is
+// recordIfFits notes runs that were just placed if the room for all of them is
 // free now; else they wait for it.
-func (m *Machine) startIfFits(runs []*run) {
+func (m *Machine) recordIfFits(runs []*run) {
 	if fitTogether(runs) {
-		m.note(runs)
+		m.record(runs)
 	}
 }
 
@@ -276,36 +276,36 @@
 	return true
 }
 
-// startWaiting notes runs whose room has become free, and gives up those whose
+// recordWaiting notes runs whose room has become free, and gives up those whose
 // target takes no work any more.
-func (m *Machine) startWaiting(now time.Time) {
-	if !m.recheck {
+func (m *Machine) recordWaiting(now time.Time) {
+	if !m.recheckWaiting {
 		return
 	}
-	m.recheck = false
+	m.recheckWaiting = false
 	for _, group := range m.waitingGroups() {
-		lost := slices.ContainsFunc(group, func(r *run) bool { return !r.target.open(now) })
+		lost := slices.ContainsFunc(group, func(r *run) bool { return !r.target.acceptsWork(now) })
 		switch {
 		case lost:
 			for _, r := range group {
 				m.release(r, now)
 			}
 		case fitTogether(group):
-			m.note(group)
+			m.record(group)
 		}
 	}
 }
 
-// waits reports whether a run still waits for room.
-func (r *run) waits() bool { return r.phase == waiting && r.target.runs[r.Run] == r }
+// isWaiting reports whether a run still isWaiting for room.
+func (r *run) isWaiting() bool { return r.phase == awaitingCapacity && r.target.runs[r.Run] == r }
 
 // waitingGroups returns the runs that wait for room: gangs together, others
 // alone, in the order in which they were placed.
 func (m *Machine) waitingGroups() [][]*run {
-	m.waiting = slices.DeleteFunc(m.waiting, func(r *run) bool { return !r.waits() })
+	m.waitingRuns = slices.DeleteFunc(m.waitingRuns, func(r *run) bool { return !r.isWaiting() })
 	var groups [][]*run
 	gangs := map[*step]int{}
-	for _, r := range m.waiting {
+	for _, r := range m.waitingRuns {
 		s := r.task.step
 		if at, ok := gangs[s]; ok && s.spec.Gang {
 			groups[at] = append(groups[at], r)
--- a/internal/work/dispatch/gang_test.go
+++ b/internal/work/dispatch/gang_test.go
@@ -23,13 +23,13 @@
 			g := large(rapid.IntRange(1, 20).Draw(rt, "members"), rapid.SampledFrom([]int{1, 2, 4, 8}).Draw(rt, "accelerators"))
 			g.SameRack = rapid.Bool().Draw(rt, "same rack")
 			d.m.Accept(d.jobOf(100+n, 1, g), d.now)
-			s := d.m.open[len(d.m.open)-1]
-			slower := d.m.wallMS(d.now) > s.lastStart()
-			if !d.m.pass.noRoomFor(s, slower) {
+			s := d.m.openSteps[len(d.m.openSteps)-1]
+			slower := d.m.wallMS(d.now) > s.latestStartForValue()
+			if !d.m.pass.isUnplaceable(s, slower) {
 				d.m.placeGang(s, d.now)
 				continue
 			}
-			for _, c := range d.m.sets(s, d.now) {
+			for _, c := range d.m.targetSets(s, d.now) {
 				if plan, _ := d.m.fill(s, c.targets, d.now); plan != nil && (c.far == 0 || slower) {
 					rt.Fatalf("%d members of %d accelerators fit", len(s.tasks), s.spec.Needs.Accelerators)
 				}
@@ -48,20 +48,20 @@
 	}
 	d.now = d.now.Add(30 * time.Second)
 	d.m.Accept(d.jobOf(2, 0, urgent(8, 8)), d.now)
-	s := d.m.open[len(d.m.open)-1]
-	looks, last := 0, s.clearAt
+	s := d.m.openSteps[len(d.m.openSteps)-1]
+	looks, last := 0, s.nextPreemptionAt
 	for range 100 {
-		d.m.changed, d.m.passAt = true, time.Time{}
+		d.m.placementDue, d.m.nextPassAt = true, time.Time{}
 		d.m.Decide(d.now)
-		if s.clearAt != last {
-			looks, last = looks+1, s.clearAt
+		if s.nextPreemptionAt != last {
+			looks, last = looks+1, s.nextPreemptionAt
 		}
 		d.now = d.now.Add(10 * time.Millisecond)
 	}
 	if looks < 4 || looks > 6 {
 		t.Errorf("%d looks in a second", looks)
 	}
-	if len(s.wanted) == 0 || !d.m.heldFor(s.wanted[0], &step{}) {
+	if len(s.reservation) == 0 || !d.m.reservedForOther(s.reservation[0], &step{}) {
 		t.Error("targets are not held back between two looks")
 	}
 }
--- a/internal/work/dispatch/lasting.go
+++ b/internal/work/dispatch/lasting.go
@@ -11,28 +11,28 @@
 	}
 	for _, r := range t.sortedRuns() {
 		s := r.task.step
-		if r.phase != running || !s.spec.Lasting || s.job.over() || s.away() >= max(s.spec.MaxUnavailable, 1) {
+		if r.phase != running || !s.spec.Lasting || s.job.finished() || s.unavailable() >= max(s.spec.MaxUnavailable, 1) {
 			continue
 		}
-		if other := m.choose(r.task, now); other != nil && other != t {
+		if other := m.chooseTarget(r.task, now); other != nil && other != t {
 			m.stop(r, "its target leaves", now)
 		}
 	}
 }
 
-// away returns how many tasks of a lasting step are not at work.
-func (s *step) away() int {
+// unavailable returns how many tasks of a lasting step are not at work.
+func (s *step) unavailable() int {
 	n := 0
 	for _, x := range s.tasks {
-		if !x.atWork() {
+		if !x.serving() {
 			n++
 		}
 	}
 	return n
 }
 
-// atWork reports whether a lasting task has started up and serves.
-func (x *task) atWork() bool {
+// serving reports whether a lasting task has started up and serves.
+func (x *task) serving() bool {
 	for _, r := range x.runs {
 		if r.phase == running && r.percent == 100 {
 			return true
--- a/internal/work/dispatch/listing_test.go
+++ b/internal/work/dispatch/listing_test.go
@@ -11,7 +11,7 @@
 
 func aged() Bounds {
 	b := DefaultBounds()
-	b.ListAge = shortListAge
+	b.MaxListAge = shortListAge
 	return b
 }
 
--- a/internal/work/dispatch/load_test.go
+++ b/internal/work/dispatch/load_test.go
@@ -88,7 +88,7 @@
 				s.pass(time.Second)
 			}
 			b.ReportMetric(float64(s.m.Counts().Runs), "runs")
-			b.ReportMetric(float64(s.m.Counts().Open), "waiting")
+			b.ReportMetric(float64(s.m.Counts().OpenSteps), "waiting")
 			b.ReportMetric(s.served(0, 3, s.now.Add(-10*time.Second)), "urgentInTime")
 		})
 	}
@@ -111,7 +111,7 @@
 			d.m.Decide(d.now)
 			for b.Loop() {
 				d.now = d.now.Add(20 * time.Millisecond)
-				d.m.changed, d.m.passAt = true, time.Time{}
+				d.m.placementDue, d.m.nextPassAt = true, time.Time{}
 				d.m.Decide(d.now)
 			}
 		})
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -14,40 +14,40 @@
 
 // Machine decides for one term.
 type Machine struct {
-	bounds     Bounds
-	term       int64
-	log        Log
-	wall       time.Duration // time of day minus the steady time that is passed in
-	targets    map[string]*target
-	byID       []*target   // by id, so that decisions do not depend on map order
-	racks      [][]*target // the same by rack; nil: to be put together anew
-	jobs       map[graph.JobID]*job
-	recurring  []*job  // in the order in which they came
-	open       []*step // steps that have tasks to start, in the order in which they came
-	parts      []part
-	out        []Command
-	begun      bool // placing is allowed
-	begunAt    time.Time
-	listAsOf   time.Time // when the list of targets was read that is known
-	touched    []*target // for which a hold is to be considered
-	fresh      []*step   // that came up since the last pass
-	passAt     time.Time // the next pass is not before
-	pass       pass
-	backlog    backlog
-	orderTime  time.Duration              // that an order usually takes
-	waiting    []*run                     // that wait for room, in the order in which they were placed; some may have ceased to
-	recheck    bool                       // room came free, or more waits for it
-	considered int                        // targets considered in this pass, over all steps
-	heldBack   map[*target]map[*step]bool // targets kept for urgent steps, in this pass
-	advising   bool                       // a call for advice is outstanding
-	forgetAt   time.Time                  // no jobs are forgotten before
-	adviseAt   time.Time                  // no call for advice before
-	smallest   graph.Resources            // needs of the smallest task with one accelerator
-	guaranteed map[string]int             // accelerators for jobs of priority 0, by account
-	short      bool                       // the guarantees do not fit in the room that may be used
-	evacuated  evacuation.Status          // the zones that operators evacuate
-	changed    bool                       // something may be startable that was not
-	deposed    bool
+	bounds             Bounds
+	term               int64
+	log                Log
+	wallOffset         time.Duration // time of day minus the steady time that is passed in
+	targets            map[string]*target
+	targetsByID        []*target   // by id, so that decisions do not depend on map order
+	racks              [][]*target // the same by rack; nil: to be put together anew
+	jobs               map[graph.JobID]*job
+	recurring          []*job  // in the order in which they came
+	openSteps          []*step // steps that have tasks to start, in the order in which they came
+	parts              []part
+	commands           []Command
+	placementEnabled   bool // placing is allowed
+	placementEnabledAt time.Time
+	listAsOf           time.Time // when the list of targets was read that is known
+	pollCandidates     []*target // for which a hold is to be considered
+	newSteps           []*step   // that came up since the last pass
+	nextPassAt         time.Time // the next pass is not before
+	pass               pass
+	backlog            backlog
+	orderTime          time.Duration              // that an order usually takes
+	waitingRuns        []*run                     // that wait for room, in the order in which they were placed; some may have ceased to
+	recheckWaiting     bool                       // room came free, or more waits for it
+	considered         int                        // targets considered in this pass, over all steps
+	reserved           map[*target]map[*step]bool // targets kept for urgent steps, in this pass
+	advicePending      bool                       // a call for advice is outstanding
+	nextForgetAt       time.Time                  // no jobs are forgotten before
+	nextAdviceAt       time.Time                  // no call for advice before
+	smallestTask       graph.Resources            // needs of the smallest task with one accelerator
+	guaranteed         map[string]int             // accelerators for jobs of priority 0, by account
+	guaranteesExceeded bool                       // the guarantees do not fit in the room that may be used
+	evacuated          evacuation.Status          // the zones that operators evacuate
+	placementDue       bool                       // something may be startable that was not
+	deposed            bool
 }
 
 // Log takes in what was decided, one line for each decision. Its methods must
@@ -56,9 +56,9 @@
 	Decided(what string, kv ...any)
 }
 
-type silence struct{}
+type discardLog struct{}
 
-func (silence) Decided(string, ...any) {}
+func (discardLog) Decided(string, ...any) {}
 
 // Option sets one property of a new machine.
 type Option func(*Machine)
@@ -70,7 +70,7 @@
 // earlier leader's.
 func New(term int64, b Bounds, opts ...Option) *Machine {
 	m := &Machine{
-		bounds: b, term: term, log: silence{}, targets: map[string]*target{}, jobs: map[graph.JobID]*job{},
+		bounds: b, term: term, log: discardLog{}, targets: map[string]*target{}, jobs: map[graph.JobID]*job{},
 		parts: make([]part, b.Parts),
 	}
 	for _, o := range opts {
@@ -100,74 +100,74 @@
 // its jobs of priority 0.
 func (m *Machine) SetGuarantees(byAccount map[string]int) {
 	m.guaranteed = byAccount
-	m.judgeGuarantees()
+	m.checkGuarantees()
 }
 
-// SetWall tells the time of day minus the steady time that the other methods
+// SetWallOffset tells the time of day minus the steady time that the other methods
 // are given.
-func (m *Machine) SetWall(offset time.Duration) { m.wall = offset }
+func (m *Machine) SetWallOffset(offset time.Duration) { m.wallOffset = offset }
 
 // wallMS returns the time of day in milliseconds since 1970.
-func (m *Machine) wallMS(now time.Time) int64 { return now.Add(m.wall).UnixMilli() }
+func (m *Machine) wallMS(now time.Time) int64 { return now.Add(m.wallOffset).UnixMilli() }
 
-// Begin allows placing: all accepted jobs and all registered targets were told.
+// EnablePlacement allows placing: all accepted jobs and all registered targets were told.
 // What an earlier leader noted on targets that do not report is believed over at
 // heirEnd: by then all leases have lapsed that it can have granted.
-func (m *Machine) Begin(heirEnd, now time.Time) {
-	m.begun, m.begunAt, m.changed = true, now, true
-	for _, t := range m.byID {
-		if t.reach == unheld {
-			t.leaseEnd = heirEnd
+func (m *Machine) EnablePlacement(predecessorLeasesEnd, now time.Time) {
+	m.placementEnabled, m.placementEnabledAt, m.placementDue = true, now, true
+	for _, t := range m.targetsByID {
+		if t.reach == notPolled {
+			t.leaseEnd = predecessorLeasesEnd
 		}
 	}
 }
 
 // Tick does what is due.
 func (m *Machine) Tick(now time.Time) {
-	m.openDue(now)
-	for _, t := range slices.Clone(m.byID) {
-		t.warmUp(now)
+	m.openRecurring(now)
+	for _, t := range slices.Clone(m.targetsByID) {
+		t.updateWarmUp(now)
 		m.tickTarget(t, now)
-		if t.forgotten() {
+		if t.removable() {
 			delete(m.targets, t.ID)
-			m.byID = without(m.byID, t)
+			m.targetsByID = removeFrom(m.targetsByID, t)
 			m.racks = nil
 		}
 	}
-	m.judgeZones(now)
-	for _, t := range m.byID {
-		m.touchTarget(t)
+	m.checkZonesReachable(now)
+	for _, t := range m.targetsByID {
+		m.considerPoll(t)
 	}
 	m.forgetEnded(now)
-	m.changed, m.recheck = true, true
+	m.placementDue, m.recheckWaiting = true, true
 }
 
-// Listed takes in the targets that the platform's list had at a time, all of them.
-func (m *Machine) Listed(list []roster.Target, asOf, now time.Time) {
+// UpdateTargets takes in the targets that the platform's list had at a time, all of them.
+func (m *Machine) UpdateTargets(list []roster.Target, asOf, now time.Time) {
 	m.listAsOf = asOf
 	present := map[string]bool{}
 	for i := range list {
 		present[list[i].ID] = true
-		m.listOne(list[i], now)
+		m.updateTarget(list[i], now)
 	}
-	for _, t := range m.byID {
+	for _, t := range m.targetsByID {
 		if t.listed && !present[t.ID] {
 			t.listed = false
 			m.log.Decided("target left the list", "target", t.ID, "runs", len(t.runs))
 		}
 	}
-	m.changed = true
-	m.judgeGuarantees()
+	m.placementDue = true
+	m.checkGuarantees()
 }
 
-// listFresh reports whether the list is young enough to place by. A leader that is
+// listIsCurrent reports whether the list is young enough to place by. A leader that is
 // overloaded, or that reads the list slowly, would otherwise start work on a target
 // that said long ago that it leaves.
-func (m *Machine) listFresh(now time.Time) bool {
-	return m.bounds.ListAge == 0 || now.Sub(m.listAsOf) <= m.bounds.ListAge
+func (m *Machine) listIsCurrent(now time.Time) bool {
+	return m.bounds.MaxListAge == 0 || now.Sub(m.listAsOf) <= m.bounds.MaxListAge
 }
 
-func (m *Machine) listOne(l roster.Target, now time.Time) {
+func (m *Machine) updateTarget(l roster.Target, now time.Time) {
 	t := m.targets[l.ID]
 	if t == nil {
 		t = m.addTarget(l)
@@ -177,23 +177,23 @@
 		m.log.Decided("target drains", "target", t.ID, "remainsMS", l.Remains, "runs", len(t.runs))
 	}
 	if l.Remains != t.Remains {
-		t.remainsAt = now
+		t.remainsToldAt = now
 	}
 	if l.Cold != t.Cold {
-		t.noteCold(l.Cold, now)
+		t.startWarmUp(l.Cold, now)
 	}
 	if t.Rack != l.Rack {
 		m.racks = nil
 	}
 	t.Target, t.listed, t.evacuated = l, true, m.evacuated.Has(l.Zone)
-	m.touchTarget(t)
+	m.considerPoll(t)
 }
 
 func (m *Machine) addTarget(l roster.Target) *target {
 	t := &target{Target: l, runs: map[order.Run]*run{}}
 	m.targets[l.ID] = t
-	at, _ := slices.BinarySearchFunc(m.byID, t, func(a, b *target) int { return strings.Compare(a.ID, b.ID) })
-	m.byID = slices.Insert(m.byID, at, t)
+	at, _ := slices.BinarySearchFunc(m.targetsByID, t, func(a, b *target) int { return strings.Compare(a.ID, b.ID) })
+	m.targetsByID = slices.Insert(m.targetsByID, at, t)
 	m.racks = nil
 	return t
 }
--- a/internal/work/dispatch/once_test.go
+++ b/internal/work/dispatch/once_test.go
@@ -40,7 +40,7 @@
 	j := one(id, 1)
 	j.Once = true
 	s.Accept(j, s.now)
-	s.Begin(s.now, s.now)
+	s.EnablePlacement(s.now, s.now)
 	s.report(order.Report{})
 	started := commands[Start](s)
 	is.Equal(len(started), 1)
@@ -59,7 +59,7 @@
 	j := one("00000000000000dc", 1)
 	j.Once = true
 	s.Accept(j, s.now)
-	s.Begin(s.now, s.now)
+	s.EnablePlacement(s.now, s.now)
 	s.report(order.Report{})
 	started := commands[Start](s)
 	s.StartAnswered("t1", started[0].Order.Run, 5000, order.ErrUnhealthy, s.now)
--- a/internal/work/dispatch/orders_test.go
+++ b/internal/work/dispatch/orders_test.go
@@ -44,7 +44,7 @@
 	}
 	d.lose = func(c Command) bool {
 		switch c := c.(type) {
-		case Hold:
+		case Poll:
 			return there(c.Target.ID)
 		case Stop:
 			return there(c.Target.ID)
@@ -68,9 +68,9 @@
 	s := newStanding()
 	id := graph.JobID("00000000000000ae")
 	s.Accept(one(id, 1), s.now)
-	s.Begin(s.now, s.now)
+	s.EnablePlacement(s.now, s.now)
 	s.report(order.Report{})
-	s.now = s.now.Add(gatherTime)
+	s.now = s.now.Add(reportWait)
 	is.Equal(len(s.saves()), 1)
 	var tries []Start
 	orders := func() (stops int) {
@@ -87,7 +87,7 @@
 	is.Equal(orders(), 0)
 	is.Equal(len(tries), 1)
 	s.StartAnswered("t1", tries[0].Order.Run, 0, order.ErrUnanswered, s.now)
-	s.now = s.now.Add(retryOrder)
+	s.now = s.now.Add(orderRetryInterval)
 	s.Tick(s.now)
 	is.Equal(orders(), 0)
 	is.Equal(len(tries), 2)
--- a/internal/work/dispatch/pacing.go
+++ b/internal/work/dispatch/pacing.go
@@ -17,16 +17,16 @@
 	// paceWait is how long a report waits on a target where tasks that serve and
 	// tasks that fill are side by side.
 	paceWait = time.Second
-	// paceAbove and paceBelow: shares of the limit on the tail above which filling
+	// slowDownAbove and paceBelow: shares of the limit on the tail above which filling
 	// tasks are slowed down, and below which they are let on. The gap keeps them
 	// from swinging.
-	paceAbove = 0.85
-	paceBelow = 0.6
+	slowDownAbove = 0.85
+	speedUpBelow  = 0.6
 	// paceStep is how many percent filling tasks are let on at a time.
 	paceStep = 15
-	// paceAgain is the pause after a change, until its effect is reported: the
+	// pacePause is the pause after a change, until its effect is reported: the
 	// tail is that of the last half second.
-	paceAgain = 700 * time.Millisecond
+	pacePause = 700 * time.Millisecond
 )
 
 // Pace lets a filling run work at a share of its speed. The answer goes to
@@ -41,40 +41,40 @@
 
 // pace steers the filling runs of a target by what it just reported.
 func (m *Machine) pace(t *target, now time.Time) {
-	strain, serves := t.strain()
-	if !serves || now.Before(t.pacedAt.Add(paceAgain)) {
+	strain, serves := t.tailRatio()
+	if !serves || now.Before(t.pacedAt.Add(pacePause)) {
 		return
 	}
 	for _, r := range t.sortedRuns() {
 		if r.phase != running || !r.task.step.spec.Filling {
 			continue
 		}
-		if want := pacedTo(r.share, strain); want != r.share {
-			m.log.Decided("pace", "target", t.ID, "task", r.Task, "run", r.Number, "from", r.share, "to", want, "strain", strain)
-			r.share = want
+		if want := nextShare(r.paceShare, strain); want != r.paceShare {
+			m.log.Decided("pace", "target", t.ID, "task", r.Task, "run", r.Number, "from", r.paceShare, "to", want, "strain", strain)
+			r.paceShare = want
 			t.pacedAt = now
-			m.out = append(m.out, Pace{Target: t.address(), Run: r.Run, Percent: want})
+			m.commands = append(m.commands, Pace{Target: t.address(), Run: r.Run, Percent: want})
 		}
 	}
 }
 
-// pacedTo returns the share at which a filling run works next: much less when the
+// nextShare returns the share at which a filling run works next: much less when the
 // tail nears its limit, none when it is over it, a little more when there is room.
-func pacedTo(share int, strain float64) int {
+func nextShare(share int, strain float64) int {
 	switch {
 	case strain >= 1:
 		return 0
-	case strain >= paceAbove:
+	case strain >= slowDownAbove:
 		return share / 2
-	case strain < paceBelow:
+	case strain < speedUpBelow:
 		return min(share+paceStep, 100)
 	}
 	return share
 }
 
-// strain returns the worst tail of the target's serving tasks as a share of its
+// tailRatio returns the worst tail of the target's serving tasks as a share of its
 // limit, and whether any serves there.
-func (t *target) strain() (worst float64, serves bool) {
+func (t *target) tailRatio() (worst float64, serves bool) {
 	for _, r := range t.runs {
 		limit := r.task.step.spec.TailLimit
 		if r.phase != running || limit <= 0 {
@@ -86,13 +86,13 @@
 	return worst, serves
 }
 
-// shares reports whether tasks that serve and tasks that fill are on the target.
-func (t *target) shares() bool {
+// mixesServingAndFilling reports whether tasks that serve and tasks that fill are on the target.
+func (t *target) mixesServingAndFilling() bool {
 	fills := false
 	for _, r := range t.runs {
 		fills = fills || r.task.step.spec.Filling
 	}
-	_, serves := t.strain()
+	_, serves := t.tailRatio()
 	return fills && serves
 }
 
@@ -103,29 +103,29 @@
 	if t == nil {
 		return
 	}
-	t.heardClock(clock, now)
+	t.updateClock(clock, now)
 	if r := t.runs[what]; r != nil && err != nil {
-		r.share = 100
+		r.paceShare = 100
 		t.pacedAt = time.Time{}
 	}
 }
 
-// shareFound is the share at which a filling run is thought to work that an
+// adoptedShare is the share at which a filling run is thought to work that an
 // earlier leader started: it may have been slowed down to nothing, so it is let
 // on from there.
-const shareFound = paceStep
+const adoptedShare = paceStep
 
-// shareOf returns the share at which a run that was found is thought to work.
-func shareOf(s *step) int {
+// initialShare returns the share at which a run that was found is thought to work.
+func initialShare(s *step) int {
 	if s.spec.Filling {
-		return shareFound
+		return adoptedShare
 	}
 	return 100
 }
 
-// crowds says how much a task that fills, or one that serves, would be disturbed
+// interference says how much a task that fills, or one that serves, would be disturbed
 // or disturb on a target: the number of the others there.
-func (t *target) crowds(s *step) int {
+func (t *target) interference(s *step) int {
 	n := 0
 	for _, r := range t.runs {
 		o := r.task.step.spec
--- a/internal/work/dispatch/pacing_test.go
+++ b/internal/work/dispatch/pacing_test.go
@@ -13,12 +13,12 @@
 
 func TestPacedTo(t *testing.T) {
 	is := is.New(t)
-	is.Equal(pacedTo(100, 1.2), 0)  // over the limit: not at all
-	is.Equal(pacedTo(100, 0.9), 50) // near it: half
-	is.Equal(pacedTo(50, 0.7), 50)  // between: as it is
-	is.Equal(pacedTo(50, 0.3), 65)  // well below: a little more
-	is.Equal(pacedTo(95, 0.1), 100) // at most all
-	is.Equal(pacedTo(0, 0.1), 15)   // back from nothing
+	is.Equal(nextShare(100, 1.2), 0)  // over the limit: not at all
+	is.Equal(nextShare(100, 0.9), 50) // near it: half
+	is.Equal(nextShare(50, 0.7), 50)  // between: as it is
+	is.Equal(nextShare(50, 0.3), 65)  // well below: a little more
+	is.Equal(nextShare(95, 0.1), 100) // at most all
+	is.Equal(nextShare(0, 0.1), 15)   // back from nothing
 }
 
 // A task that serves shares its target with one that fills. Its tail nears and
@@ -33,7 +33,7 @@
 	b.Steps[0].Filling = true
 	s.Restore(a, nil, 0, false, s.now)
 	s.Restore(b, nil, 0, false, s.now)
-	s.Begin(s.now, s.now)
+	s.EnablePlacement(s.now, s.now)
 	tail := func(ms int) []Pace {
 		s.now = s.now.Add(time.Second)
 		s.report(order.Report{Running: []order.Running{
@@ -61,7 +61,7 @@
 	b.Steps[0].Filling = true
 	s.Restore(a, nil, 0, false, s.now)
 	s.Restore(b, nil, 0, false, s.now)
-	s.Begin(s.now, s.now)
+	s.EnablePlacement(s.now, s.now)
 	rep := order.Report{Running: []order.Running{{Run: run1(serves, 0, 1), Percent: 100, Gauge: 200}, {Run: run1(fills, 0, 1)}}}
 	s.report(rep)
 	first := commands[Pace](s)
@@ -82,13 +82,13 @@
 	s.Lasting, s.MaxUnavailable, s.PerTarget = true, 1, 3
 	id := d.submit(2, time.Hour, s)
 	d.run(time.Second)
-	for _, x := range d.m.byID { // the stand-in's lasting tasks serve at once
+	for _, x := range d.m.targetsByID { // the stand-in's lasting tasks serve at once
 		for _, r := range x.runs {
 			r.percent = 100
 		}
 	}
-	is.Equal(d.m.jobs[id].steps[0].away(), 0)
-	leaving := d.m.byID[0]
+	is.Equal(d.m.jobs[id].steps[0].unavailable(), 0)
+	leaving := d.m.targetsByID[0]
 	before := len(leaving.runs)
 	is.True(before >= 2)
 	leaving.Draining = true
@@ -109,7 +109,7 @@
 	s := newStanding()
 	id := graph.JobID("00000000000000ce")
 	s.Restore(one(id, 1), &progress.Job{State: progress.Completed, Ended: s.now.UnixMilli()}, 5, false, s.now)
-	s.Begin(s.now, s.now)
+	s.EnablePlacement(s.now, s.now)
 	s.Tick(s.now)
 	is.Equal(len(commands[Forget](s)), 0)
 	s.now = s.now.Add(DefaultBounds().Retention + forgetSlack + time.Second)
--- a/internal/work/dispatch/query.go
+++ b/internal/work/dispatch/query.go
@@ -16,31 +16,31 @@
 	if j == nil {
 		return "", false
 	}
-	return j.told(), true
+	return j.status(), true
 }
 
-// told returns the state that clients may be told.
-func (j *job) told() progress.State {
-	if !j.shown.Final() && j.started {
+// status returns the state that clients may be status.
+func (j *job) status() progress.State {
+	if !j.published.Final() && j.started {
 		return progress.Running
 	}
-	return j.shown
+	return j.published
 }
 
-// Told returns what clients may be told of a job, and whether it is known.
-func (m *Machine) Told(id graph.JobID) (view.Told, bool) {
+// Status returns what clients may be told of a job, and whether it is known.
+func (m *Machine) Status(id graph.JobID) (view.Told, bool) {
 	j := m.jobs[id]
 	if j == nil {
 		return view.Told{}, false
 	}
-	return view.Told{State: j.told(), Queue: j.spec.Queue, Account: j.spec.Account}, true
+	return view.Told{State: j.status(), Queue: j.spec.Queue, Account: j.spec.Account}, true
 }
 
 // Pending returns how many accepted jobs of a queue have not started.
 func (m *Machine) Pending(queue string) int {
 	n := 0
 	for _, j := range m.jobs {
-		if j.spec.Queue == queue && !j.started && !j.over() {
+		if j.spec.Queue == queue && !j.started && !j.finished() {
 			n++
 		}
 	}
@@ -73,15 +73,15 @@
 
 func (j *job) view() view.Job {
 	v := view.Job{
-		ID: j.spec.ID, Queue: j.spec.Queue, Account: j.spec.Account, Priority: j.spec.Priority, State: j.told(),
-		Accepted: time.UnixMilli(j.spec.AcceptedAt).UTC(), Runs: len(j.live),
+		ID: j.spec.ID, Queue: j.spec.Queue, Account: j.spec.Account, Priority: j.spec.Priority, State: j.status(),
+		Accepted: time.UnixMilli(j.spec.AcceptedAt).UTC(), Runs: len(j.liveRuns),
 	}
 	if j.endedAt != 0 {
 		v.Ended = time.UnixMilli(j.endedAt).UTC()
 	}
 	for _, s := range j.steps {
 		v.Tasks += len(s.tasks)
-		v.Done += len(s.tasks) - s.undone
+		v.Done += len(s.tasks) - s.tasksLeft
 	}
 	return v
 }
@@ -89,19 +89,19 @@
 // Fleet returns what the machine holds of targets and accounts.
 func (m *Machine) Fleet(now time.Time) view.Fleet {
 	f := view.Fleet{
-		Term: m.term, Waiting: len(m.open), Zones: m.zones(), Targets: []view.Target{}, Accounts: []view.Account{},
-		Guaranteed: m.guaranteedInAll(), Usable: m.usable(),
+		Term: m.term, Waiting: len(m.openSteps), Zones: m.zones(), Targets: []view.Target{}, Accounts: []view.Account{},
+		Guaranteed: m.totalGuaranteed(), Usable: m.usableAccelerators(),
 	}
-	for _, t := range m.byID {
+	for _, t := range m.targetsByID {
 		f.Targets = append(f.Targets, view.Target{
 			ID: t.ID, Zone: t.Zone, Rack: t.Rack, Service: t.Service, Accelerators: t.Capacity.Accelerators,
 			Cores: t.Capacity.CPU / 1000, MemoryMB: t.Capacity.MemoryMB,
-			Free: t.room().Accelerators, Runs: len(t.runs), State: t.describe(now),
+			Free: t.freeCapacity().Accelerators, Runs: len(t.runs), State: t.describe(now),
 		})
 	}
 	wanted := m.wantedByAccount()
-	for name, sure := range m.guaranteed {
-		f.Accounts = append(f.Accounts, view.Account{Name: name, Guaranteed: sure, Wanted: wanted[name]})
+	for name, guaranteed := range m.guaranteed {
+		f.Accounts = append(f.Accounts, view.Account{Name: name, Guaranteed: guaranteed, Wanted: wanted[name]})
 	}
 	slices.SortFunc(f.Accounts, func(a, b view.Account) int { return cmp.Compare(a.Name, b.Name) })
 	return f
@@ -119,14 +119,14 @@
 	for _, name := range m.evacuated.Zones {
 		at(name)
 	}
-	for _, t := range m.byID {
+	for _, t := range m.targetsByID {
 		if !t.listed {
 			continue
 		}
 		z := at(t.Zone)
 		z.Targets++
 		z.Accelerators += t.Capacity.Accelerators
-		z.Free += t.room().Accelerators
+		z.Free += t.freeCapacity().Accelerators
 		z.Runs += len(t.runs)
 	}
 	list := make([]view.Zone, 0, len(byName))
@@ -142,9 +142,9 @@
 	switch {
 	case !t.listed:
 		return "unlisted"
-	case t.reach == unheld:
+	case t.reach == notPolled:
 		return "unheld"
-	case t.reach == silent:
+	case t.reach == unreachable:
 		return "silent"
 	case t.Draining:
 		return "draining"
@@ -158,15 +158,15 @@
 
 // Counts is what a machine holds.
 type Counts struct {
-	Jobs, Targets, Held, Runs, Open, Evacuated int
+	Jobs, Targets, Reachable, Runs, OpenSteps, Evacuated int
 }
 
 // Counts returns what the machine holds now.
 func (m *Machine) Counts() Counts {
-	c := Counts{Jobs: len(m.jobs), Targets: len(m.targets), Open: len(m.open), Evacuated: len(m.evacuated.Zones)}
-	for _, t := range m.byID {
-		if t.reach == held {
-			c.Held++
+	c := Counts{Jobs: len(m.jobs), Targets: len(m.targets), OpenSteps: len(m.openSteps), Evacuated: len(m.evacuated.Zones)}
+	for _, t := range m.targetsByID {
+		if t.reach == reachable {
+			c.Reachable++
 		}
 		c.Runs += len(t.runs)
 	}
--- a/internal/work/dispatch/restore_test.go
+++ b/internal/work/dispatch/restore_test.go
@@ -25,7 +25,7 @@
 
 func newStanding() *standing {
 	s := &standing{Machine: New(7, DefaultBounds()), now: time.Unix(1000, 0)}
-	s.Listed([]roster.Target{{
+	s.UpdateTargets([]roster.Target{{
 		ID: "t1", Address: "t1", Service: "s", Capacity: graph.Resources{CPU: 64000, MemoryMB: 262144, Accelerators: 8},
 	}}, s.now, s.now)
 	return s
@@ -34,7 +34,7 @@
 // report has the target report.
 func (s *standing) report(rep order.Report) {
 	rep.Clock = s.now.UnixMilli()
-	s.Held("t1", Hold{Sent: s.now}, rep, s.now)
+	s.Polled("t1", Poll{Sent: s.now}, rep, s.now)
 }
 
 // saves returns the saves that the machine asks for, and takes them as done.
@@ -62,7 +62,7 @@
 	s := newStanding()
 	id := graph.JobID("00000000000000aa")
 	s.Restore(one(id, 2), &progress.Job{State: progress.Completed, Ended: 1}, 5, true, s.now)
-	s.Begin(s.now, s.now)
+	s.EnablePlacement(s.now, s.now)
 	s.report(order.Report{Ended: []order.Ended{{Number: 1, Run: run1(id, 0, 1), How: order.Done}}})
 	is.Equal(len(s.saves()), 0)
 	state, known := s.State(id)
@@ -79,7 +79,7 @@
 	id := graph.JobID("00000000000000ab")
 	failed := &progress.Step{Failures: map[int][]int{0: {1}}, Runs: map[int]int{0: 1}}
 	s.Restore(one(id, 1), &progress.Job{State: progress.Queued, Steps: map[string]*progress.Step{"0.0": failed}}, 5, false, s.now)
-	s.Begin(s.now, s.now)
+	s.EnablePlacement(s.now, s.now)
 	s.report(order.Report{Ended: []order.Ended{{Number: 1, Run: run1(id, 0, 1), How: order.Failed}}})
 	state, _ := s.State(id)
 	is.Equal(state, progress.Queued)
@@ -101,7 +101,7 @@
 	j := one(id, 2)
 	j.Steps[0].Gang = true
 	s.Restore(j, nil, 0, false, s.now)
-	s.Begin(s.now, s.now)
+	s.EnablePlacement(s.now, s.now)
 	s.report(order.Report{Ended: []order.Ended{
 		{Number: 1, Run: run1(id, 0, 1), How: order.Done}, {Number: 2, Run: run1(id, 1, 1), How: order.Done},
 	}})
@@ -119,7 +119,7 @@
 	id := graph.JobID("00000000000000ad")
 	placed := &progress.Step{Placed: []progress.Place{{Target: "t1", Run: 1}}, Runs: map[int]int{0: 1}}
 	s.Restore(one(id, 1), &progress.Job{State: progress.Queued, Steps: map[string]*progress.Step{"0.0": placed}}, 5, false, s.now)
-	s.Begin(s.now.Add(6*time.Second), s.now)
+	s.EnablePlacement(s.now.Add(6*time.Second), s.now)
 	is.Equal(len(s.saves()), 0) // nothing is placed before the report
 	s.now = s.now.Add(time.Millisecond)
 	s.report(order.Report{})
@@ -143,7 +143,7 @@
 	placed := &progress.Step{Placed: []progress.Place{{Target: "gone", Run: 3}}, Runs: map[int]int{0: 3}}
 	s.Restore(one(id, 1), &progress.Job{State: progress.Queued, Steps: map[string]*progress.Step{"0.0": placed}}, 5, false, s.now)
 	end := s.now.Add(6 * time.Second)
-	s.Begin(end, s.now)
+	s.EnablePlacement(end, s.now)
 	s.report(order.Report{})
 	is.Equal(len(s.saves()), 0)
 	s.now = end.Add(-time.Millisecond)
--- a/internal/work/dispatch/run.go
+++ b/internal/work/dispatch/run.go
@@ -11,40 +11,40 @@
 type phase int
 
 const (
-	waiting   phase = iota // for room on its target
-	noted                  // its room is taken; it is started once that is saved
-	starting               // a start was sent
-	running                // the target has it
-	stopping               // a stop is wanted
-	inherited              // an earlier leader noted it; its target has not reported
+	awaitingCapacity phase = iota // for room on its target
+	recorded                      // its room is taken; it is started once that is saved
+	starting                      // a start was sent
+	running                       // the target has it
+	stopping                      // a stop is wanted
+	unconfirmed                   // an earlier leader noted it; its target has not reported
 )
 
 // run is a run of a task on a target, from the decision to start it until it
 // cannot exist any more.
 type run struct {
 	order.Run
-	task         *task
-	target       *target
-	charge       graph.Resources
-	phase        phase
-	placedAt     time.Time
-	noteRev      int64     // revision of the job's progress that contains it
-	sentAt       time.Time // of the last order
-	tries        int       // starts sent
-	unanswered   bool      // a start was sent whose answer never came
-	pending      bool      // an order is outstanding
-	settledAt    time.Time // the target answered the start or the stop; zero: neither
-	resumedAt    string    // checkpoint that the start carried
-	checkpoint   string    // newest that was reported
-	ticket       string    // that the start carries
-	share        int       // at which a filling run works, in percent
-	gauge        int       // as the target last reported it
-	percent      int
-	reportedAt   time.Time
-	movedAt      time.Time // when the progress changed last
-	stuck        bool      // it was noticed that it stands still
-	firstAt      time.Time // when the first progress was reported; zero: none yet
-	firstPercent int
-	beganAt      time.Time // first seen on the target
-	vouched      bool      // it has worked long enough to speak for its target
+	task            *task
+	target          *target
+	charge          graph.Resources
+	phase           phase
+	placedAt        time.Time
+	recordRev       int64     // revision of the job's progress that contains it
+	sentAt          time.Time // of the last order
+	startsSent      int       // starts sent
+	unanswered      bool      // a start was sent whose answer never came
+	orderPending    bool      // an order is outstanding
+	orderAnsweredAt time.Time // the target answered the start or the stop; zero: neither
+	resumedAt       string    // checkpoint that the start carried
+	checkpoint      string    // newest that was reported
+	ticket          string    // that the start carries
+	paceShare       int       // at which a filling run works, in percent
+	gauge           int       // as the target last reported it
+	percent         int
+	reportedAt      time.Time
+	progressedAt    time.Time // when the progress changed last
+	stalled         bool      // it was noticed that it stands still
+	firstProgressAt time.Time // when the first progress was reported; zero: none yet
+	firstPercent    int
+	beganAt         time.Time // first seen on the target
+	provedHealthy   bool      // it has worked long enough to speak for its target
 }
--- a/internal/work/dispatch/save.go
+++ b/internal/work/dispatch/save.go
@@ -18,11 +18,11 @@
 type part struct {
 	dirty   []*job    // to be saved, in the order in which they changed; each once
 	sending []*job    // in the save that is outstanding; nil: none is
-	again   time.Time // not before
+	retryAt time.Time // not before
 }
 
-// touch has the job's progress saved, and returns the revision that is saved.
-func (m *Machine) touch(j *job) int64 {
+// markDirty has the job's progress saved, and returns the revision that is saved.
+func (m *Machine) markDirty(j *job) int64 {
 	j.rev++
 	if !j.dirty {
 		j.dirty = true
@@ -31,12 +31,12 @@
 	return j.rev
 }
 
-// flush asks for a save of each part that has something to save and no save
+// sendSaves asks for a save of each part that has something to save and no save
 // outstanding.
-func (m *Machine) flush(now time.Time) {
+func (m *Machine) sendSaves(now time.Time) {
 	for i := range m.parts {
 		p := &m.parts[i]
-		if p.sending != nil || len(p.dirty) == 0 || now.Before(p.again) {
+		if p.sending != nil || len(p.dirty) == 0 || now.Before(p.retryAt) {
 			continue
 		}
 		n := min(len(p.dirty), saveRows)
@@ -46,7 +46,7 @@
 			j.dirty, j.sentRev, j.sentState = false, j.rev, j.state
 			save.Rows = append(save.Rows, j.row())
 		}
-		m.out = append(m.out, save)
+		m.commands = append(m.commands, save)
 	}
 }
 
@@ -56,8 +56,8 @@
 	if !j.state.Final() {
 		p.Steps = map[string]*progress.Step{}
 		for _, s := range j.steps {
-			if kept := s.kept(); kept != nil {
-				p.Steps[stepKey(s.id)] = kept
+			if saved := s.savedProgress(); saved != nil {
+				p.Steps[stepKey(s.id)] = saved
 			}
 		}
 	}
@@ -72,15 +72,15 @@
 	return strconv.Itoa(id.Occurrence) + "." + strconv.Itoa(id.Step)
 }
 
-// kept returns what must be kept of the step, or nil for nothing.
-func (s *step) kept() *progress.Step {
+// savedProgress returns what must be savedProgress of the step, or nil for nothing.
+func (s *step) savedProgress() *progress.Step {
 	k := &progress.Step{}
-	empty := len(s.tried.failed) == 0 && s.saved == ""
-	if len(s.tried.failed) > 0 {
-		k.Failures = map[int][]int{0: s.tried.failed}
+	empty := len(s.gangAttempts.failed) == 0 && s.savedCheckpoint == ""
+	if len(s.gangAttempts.failed) > 0 {
+		k.Failures = map[int][]int{0: s.gangAttempts.failed}
 	}
-	if s.saved != "" {
-		k.Saved = map[int]string{0: s.saved}
+	if s.savedCheckpoint != "" {
+		k.Saved = map[int]string{0: s.savedCheckpoint}
 	}
 	for _, t := range s.tasks {
 		switch {
@@ -91,23 +91,23 @@
 			k.Done.SetBit(k.Done, t.index, 1)
 			empty = false
 			continue
-		case len(t.own.failed) > 0:
-			k.Failures = put(k.Failures, t.index, t.own.failed)
+		case len(t.ownAttempts.failed) > 0:
+			k.Failures = put(k.Failures, t.index, t.ownAttempts.failed)
 			empty = false
 		}
-		noted := false // the highest run is among those that may exist
+		highestPlaced := false // the highest run is among those that may exist
 		for _, r := range t.runs {
-			if r.phase != waiting {
+			if r.phase != awaitingCapacity {
 				k.Placed = append(k.Placed, progress.Place{Task: t.index, Target: r.target.ID, Run: r.Number})
-				noted = noted || r.Number == t.highest
+				highestPlaced = highestPlaced || r.Number == t.highestRun
 			}
 		}
-		if t.highest > 0 && !noted {
-			k.Runs = put(k.Runs, t.index, t.highest)
+		if t.highestRun > 0 && !highestPlaced {
+			k.Runs = put(k.Runs, t.index, t.highestRun)
 		}
-		empty = empty && t.highest == 0
-		if t.saved != "" {
-			k.Saved = put(k.Saved, t.index, t.saved)
+		empty = empty && t.highestRun == 0
+		if t.savedCheckpoint != "" {
+			k.Saved = put(k.Saved, t.index, t.savedCheckpoint)
 			empty = false
 		}
 	}
@@ -131,51 +131,51 @@
 	p := &m.parts[at]
 	for _, j := range p.sending {
 		j.version, j.savedRev = version, j.sentRev
-		m.show(j, j.sentState)
-		m.startNoted(j, now)
+		m.publish(j, j.sentState)
+		m.startRecorded(j, now)
 	}
 	p.sending = nil
-	for _, t := range m.byID {
-		if len(t.ends) > 0 {
-			t.settleEnds(now)
-			m.touchTarget(t)
+	for _, t := range m.targetsByID {
+		if len(t.unackedEnds) > 0 {
+			t.advanceAcked(now)
+			m.considerPoll(t)
 		}
 	}
 }
 
-// show lets clients see a state that was saved.
-func (m *Machine) show(j *job, s progress.State) {
-	if j.shown == s || j.shown.Final() {
+// publish lets clients see a state that was saved.
+func (m *Machine) publish(j *job, s progress.State) {
+	if j.published == s || j.published.Final() {
 		return
 	}
-	j.shown = s
+	j.published = s
 	if s.Final() {
 		m.log.Decided("job ended", "job", j.spec.ID, "queue", j.spec.Queue, "state", s, "accepted", j.spec.AcceptedAt, "ended", j.endedAt)
-		m.settled(j, s)
+		m.reportJobEnded(j, s)
 	}
 }
 
-// settled tells of a job that came to its end. What its client took back says
+// reportJobEnded tells of a job that came to its end. What its client took back says
 // nothing about service, and a job that recurs or lasts has no time to keep.
-func (m *Machine) settled(j *job, s progress.State) {
+func (m *Machine) reportJobEnded(j *job, s progress.State) {
 	if s == progress.Cancelled || j.spec.Repeat > 0 || j.spec.Lasting() {
 		return
 	}
 	took := time.Duration(j.endedAt-j.spec.AcceptedAt) * time.Millisecond
-	m.out = append(m.out, Settled{Job: j.spec, State: s, Took: max(took, 0)})
+	m.commands = append(m.commands, JobEnded{Job: j.spec, State: s, Took: max(took, 0)})
 }
 
 // SaveFailed takes in that the store could not be asked, or that nothing is
 // known of the outcome yet. The rows are saved again.
 func (m *Machine) SaveFailed(at int, now time.Time) {
 	p := &m.parts[at]
-	p.again = now.Add(retrySave)
-	m.resave(p)
+	p.retryAt = now.Add(saveRetryPause)
+	m.requeue(p)
 }
 
-// Found is a row as it was found when a save was refused or its outcome looked
+// StoredRow is a row as it was found when a save was refused or its outcome looked
 // up.
-type Found struct {
+type StoredRow struct {
 	Job       graph.JobID
 	Version   int64 // 0: not there
 	Cancelled bool  // the job's cancelling is there
@@ -184,9 +184,9 @@
 // SaveRefused takes in the rows as they are, after a save that did not take
 // effect as a whole or whose answer was lost. They are saved again over what is
 // there: only this term's leader writes them, so what is there is older.
-func (m *Machine) SaveRefused(at int, found []Found, now time.Time) {
+func (m *Machine) SaveRefused(at int, found []StoredRow, now time.Time) {
 	m.log.Decided("progress refused", "part", at, "rows", len(found))
-	m.parts[at].again = now.Add(retrySave / 10)
+	m.parts[at].retryAt = now.Add(saveRetryPause / 10)
 	for _, f := range found {
 		j := m.jobs[f.Job]
 		if j == nil {
@@ -197,11 +197,11 @@
 			m.cancel(j, now)
 		}
 	}
-	m.resave(&m.parts[at])
+	m.requeue(&m.parts[at])
 }
 
-// resave puts the rows of the outstanding save before those that wait.
-func (m *Machine) resave(p *part) {
+// requeue puts the rows of the outstanding save before those that wait.
+func (m *Machine) requeue(p *part) {
 	again := p.sending
 	for _, j := range p.dirty {
 		if !slices.Contains(again, j) {
--- a/internal/work/dispatch/starting.go
+++ b/internal/work/dispatch/starting.go
@@ -13,45 +13,45 @@
 func (m *Machine) place(x *task, t *target, number int, now time.Time) *run {
 	r := &run{
 		Run: order.Run{Task: x.id(), Number: number}, task: x, target: t,
-		charge: x.step.spec.Charge(), phase: waiting, placedAt: now, ticket: x.step.ticket(t), share: 100,
+		charge: x.step.spec.Charge(), phase: awaitingCapacity, placedAt: now, ticket: x.step.ticket(t), paceShare: 100,
 	}
-	x.highest = max(x.highest, number)
+	x.highestRun = max(x.highestRun, number)
 	x.runs = append(x.runs, r)
-	x.step.job.live[r] = true
+	x.step.job.liveRuns[r] = true
 	t.runs[r.Run] = r
-	t.promised = t.promised.Plus(r.charge)
-	delete(m.pass.clearable, t)
-	m.waiting = append(m.waiting, r)
-	m.recheck = true
+	t.reserved = t.reserved.Plus(r.charge)
+	delete(m.pass.preemptibleCapacity, t)
+	m.waitingRuns = append(m.waitingRuns, r)
+	m.recheckWaiting = true
 	return r
 }
 
-// note takes the room of runs that waited for it and has them saved. A start is
+// record takes the room of runs that waited for it and has them saved. A start is
 // sent only after its run was saved under this term's fence: a successor, which
 // may not reach the run's target, finds in the rows what may exist there, and a
 // leader that was succeeded without knowing it can start nothing more.
-func (m *Machine) note(runs []*run) {
+func (m *Machine) record(runs []*run) {
 	for _, r := range runs {
 		t := r.target
-		r.phase = noted
-		t.promised = t.promised.Minus(r.charge)
+		r.phase = recorded
+		t.reserved = t.reserved.Minus(r.charge)
 		t.used = t.used.Plus(r.charge)
-		r.noteRev = m.touch(r.task.step.job)
+		r.recordRev = m.markDirty(r.task.step.job)
 		m.backlog.add(r)
 	}
 }
 
-// startNoted sends the starts of a job's runs that are saved by now. Saving may
+// startRecorded sends the starts of a job's runs that are saved by now. Saving may
 // have taken long: a run whose target leaves by now, or may leave without our
 // knowing, is given up before it was sent.
-func (m *Machine) startNoted(j *job, now time.Time) {
-	for _, r := range j.sortedLive() {
-		if r.phase != noted || r.noteRev > j.savedRev || !j.live[r] {
+func (m *Machine) startRecorded(j *job, now time.Time) {
+	for _, r := range j.sortedLiveRuns() {
+		if r.phase != recorded || r.recordRev > j.savedRev || !j.liveRuns[r] {
 			continue // the last: its gang was given up just now
 		}
 		switch {
-		case !r.target.takesStarts() || !r.target.inTouch() || !m.informed(now):
-			m.log.Decided("run given up before it was sent", "target", r.target.ID, "task", r.Task, "run", r.Number, "drains", r.target.Draining, "evacuated", r.target.evacuated, "inTouch", r.target.inTouch(), "listAgeMS", now.Sub(m.listAsOf).Milliseconds(), "zonesAgeMS", now.Sub(m.evacuated.AsOf).Milliseconds())
+		case !r.target.acceptsStarts() || !r.target.responsive() || !m.stateIsCurrent(now):
+			m.log.Decided("run given up before it was sent", "target", r.target.ID, "task", r.Task, "run", r.Number, "drains", r.target.Draining, "evacuated", r.target.evacuated, "inTouch", r.target.responsive(), "listAgeMS", now.Sub(m.listAsOf).Milliseconds(), "zonesAgeMS", now.Sub(m.evacuated.AsOf).Milliseconds())
 			m.stop(r, "its target leaves or does not answer", now)
 			m.stopGang(r, "a member's target leaves or does not answer", now)
 		default:
@@ -62,11 +62,11 @@
 	}
 }
 
-// pending returns how many orders about the target's runs are outstanding.
-func (t *target) pending() int {
+// ordersPending returns how many orders about the target's runs are outstanding.
+func (t *target) ordersPending() int {
 	n := 0
 	for _, r := range t.runs {
-		if r.pending {
+		if r.orderPending {
 			n++
 		}
 	}
@@ -75,14 +75,14 @@
 
 func (m *Machine) sendStart(r *run, now time.Time) {
 	t := r.target
-	r.tries++
-	r.sentAt, r.pending = now, true
-	m.touchTarget(t)
-	m.out = append(m.out, Start{Target: t.address(), Zone: t.Zone, Order: order.Start{
-		Run: r.Run, Spec: r.task.step.job.spec.Spec, Deadline: t.grant(now, m.bounds.Lease),
+	r.startsSent++
+	r.sentAt, r.orderPending = now, true
+	m.considerPoll(t)
+	m.commands = append(m.commands, Start{Target: t.address(), Zone: t.Zone, Order: order.Start{
+		Run: r.Run, Spec: r.task.step.job.spec.Spec, Deadline: t.grantLease(now, m.bounds.Lease),
 		Term: m.term, Checkpoint: r.resumedAt, Ticket: r.ticket,
 	}, Class: t.class(m.startClass(r.task.step, now))})
-	m.log.Decided("start run", "target", t.ID, "task", r.Task, "run", r.Number, "try", r.tries, "checkpoint", r.resumedAt)
+	m.log.Decided("start run", "target", t.ID, "task", r.Task, "run", r.Number, "try", r.startsSent, "checkpoint", r.resumedAt)
 }
 
 // StartAnswered takes in what became of a start; err is nil or wraps one of
@@ -92,46 +92,46 @@
 	if t == nil {
 		return
 	}
-	t.heardClock(clock, now)
+	t.updateClock(clock, now)
 	if errors.Is(err, order.ErrFenced) {
 		m.fenced(t, "start")
 		return
 	}
-	if answered(err) {
-		m.answers(t, now)
+	if isAnswer(err) {
+		m.targetAnswered(t, now)
 	}
 	r := t.runs[what]
 	if r == nil {
 		return
 	}
-	r.pending = false
+	r.orderPending = false
 	switch {
 	case err == nil:
 		r.unanswered = false
 		if r.phase == starting {
-			r.settledAt = now
-			m.began(r, now)
+			r.orderAnsweredAt = now
+			m.runBegan(r, now)
 		}
 	case errors.Is(err, order.ErrOtherLife):
-		m.lifeOver(t, now)
+		m.incarnationEnded(t, now)
 	case errors.Is(err, order.ErrUnanswered):
 		r.unanswered = true
-		m.misses(t, r.sentAt, now)
+		m.targetMissed(t, r.sentAt, now)
 	case errors.Is(err, order.ErrUnreached):
-		m.misses(t, r.sentAt, now) // it is sent again by tickRun
+		m.targetMissed(t, r.sentAt, now) // it is sent again by tickRun
 	default:
 		m.startRefused(r, err, now)
 	}
-	m.changed = true
+	m.placementDue = true
 }
 
-// answered reports whether an order was answered, whatever the answer was.
-func answered(err error) bool {
+// isAnswer reports whether an order was isAnswer, whatever the answer was.
+func isAnswer(err error) bool {
 	return !errors.Is(err, order.ErrUnanswered) && !errors.Is(err, order.ErrUnreached) && !errors.Is(err, order.ErrWithheld)
 }
 
-// began takes in that a run is on its target.
-func (m *Machine) began(r *run, now time.Time) {
+// runBegan takes in that a run is on its target.
+func (m *Machine) runBegan(r *run, now time.Time) {
 	r.phase = running
 	r.beganAt, r.reportedAt = now, now
 	r.task.step.job.started = true
@@ -144,15 +144,15 @@
 	m.log.Decided("start refused", "target", t.ID, "task", r.Task, "run", r.Number, "error", err.Error())
 	switch {
 	case errors.Is(err, order.ErrUnhealthy):
-		t.shunned = now.Add(unhealthyRest)
+		t.suspendedUntil = now.Add(unhealthyPause)
 	case errors.Is(err, order.ErrLate):
 		t.clockMS = 0 // the next report tells the clock
 	case errors.Is(err, order.ErrNoRoom):
-		t.shunned = now.Add(fullRest)
+		t.suspendedUntil = now.Add(noCapacityPause)
 	case errors.Is(err, order.ErrNoTicket):
 		delete(r.task.step.permits.tickets, t.ID)
 	case errors.Is(err, order.ErrInvalid):
-		r.task.pausedTo = now.Add(invalidRest)
+		r.task.pausedUntil = now.Add(invalidPause)
 	}
 	if r.unanswered {
 		// An earlier copy of the order may still arrive: only a stop ends that.
@@ -166,15 +166,15 @@
 // Rests of a target that refused a start, each long enough for its next report
 // or its recovery, and short against a task's run.
 const (
-	unhealthyRest = 2 * time.Second
-	fullRest      = 500 * time.Millisecond
-	invalidRest   = 5 * time.Second // of a task whose start a target did not understand
+	unhealthyPause  = 2 * time.Second
+	noCapacityPause = 500 * time.Millisecond
+	invalidPause    = 5 * time.Second // of a task whose start a target did not understand
 )
 
 // stopGang stops the other members of the gang to which a run belongs.
 func (m *Machine) stopGang(r *run, why string, now time.Time) {
 	s := r.task.step
-	if !s.spec.Gang || s.job.live == nil {
+	if !s.spec.Gang || s.job.liveRuns == nil {
 		return
 	}
 	for _, x := range s.tasks {
@@ -184,7 +184,7 @@
 			}
 		}
 	}
-	s.pausedTo = now.Add(gangPause)
+	s.pausedUntil = now.Add(gangPause)
 }
 
 // gangPause is the pause before a gang that could not start is tried again, for
@@ -197,25 +197,25 @@
 	switch r.phase {
 	case stopping:
 		return
-	case waiting, noted:
+	case awaitingCapacity, recorded:
 		m.release(r, now)
 		return
 	}
 	m.log.Decided("stop run", "target", r.target.ID, "task", r.Task, "run", r.Number, "reason", why)
 	r.phase = stopping
-	r.settledAt = time.Time{}
+	r.orderAnsweredAt = time.Time{}
 	m.sendStop(r, now)
 }
 
 func (m *Machine) sendStop(r *run, now time.Time) {
-	r.sentAt, r.pending = now, true
-	m.out = append(m.out, Stop{Target: r.target.address(), Run: r.Run, Class: r.target.class(limiter.Stop)})
+	r.sentAt, r.orderPending = now, true
+	m.commands = append(m.commands, Stop{Target: r.target.address(), Run: r.Run, Class: r.target.class(limiter.Stop)})
 }
 
 // startClass returns the class in which the starts of a step wait for their turn, if
 // their targets answer.
 func (m *Machine) startClass(s *step, now time.Time) limiter.Class {
-	if m.mustBegin(s, now) {
+	if m.guaranteeDue(s, now) {
 		return limiter.Due
 	}
 	return limiter.Start
@@ -224,7 +224,7 @@
 // class returns the class in which an order to the target waits for its turn, which
 // is the usual one if it answers.
 func (t *target) class(usual limiter.Class) limiter.Class {
-	if t.inTouch() && t.reach != silent {
+	if t.responsive() && t.reach != unreachable {
 		return usual
 	}
 	return limiter.Probe
@@ -236,25 +236,25 @@
 	if t == nil {
 		return
 	}
-	t.heardClock(clock, now)
+	t.updateClock(clock, now)
 	switch {
 	case errors.Is(err, order.ErrFenced):
 		m.fenced(t, "stop")
 		return
 	case errors.Is(err, order.ErrOtherLife):
-		m.lifeOver(t, now)
+		m.incarnationEnded(t, now)
 		return
 	}
-	if answered(err) {
-		m.answers(t, now)
+	if isAnswer(err) {
+		m.targetAnswered(t, now)
 	}
 	if r := t.runs[what]; r != nil {
-		r.pending = false
+		r.orderPending = false
 		switch {
 		case err == nil:
-			r.settledAt = now
-		case !answered(err):
-			m.misses(t, r.sentAt, now)
+			r.orderAnsweredAt = now
+		case !isAnswer(err):
+			m.targetMissed(t, r.sentAt, now)
 		}
 	}
 }
@@ -262,19 +262,19 @@
 // awaitsAnswer reports whether an order about the run may have to be sent again.
 func (r *run) awaitsAnswer() bool { return r.phase == starting || r.phase == stopping }
 
-// probes is how many orders are on their way at once to a target that does not answer:
+// maxProbes is how many orders are on their way at once to a target that does not answer:
 // more would only keep the host busy.
-const probes = 4
+const maxProbes = 4
 
-// tickRun sends an order again that got no answer.
-func (m *Machine) tickRun(r *run, now time.Time) {
-	if r.pending || now.Sub(r.sentAt) < retryOrder || (!r.target.inTouch() && r.target.pending() >= probes) {
+// retryOrder sends an order again that got no answer.
+func (m *Machine) retryOrder(r *run, now time.Time) {
+	if r.orderPending || now.Sub(r.sentAt) < orderRetryInterval || (!r.target.responsive() && r.target.ordersPending() >= maxProbes) {
 		return
 	}
 	switch {
-	case r.phase == stopping && r.settledAt.IsZero():
+	case r.phase == stopping && r.orderAnsweredAt.IsZero():
 		m.sendStop(r, now)
-	case r.phase == starting && r.tries < startTries && r.target.takesStarts():
+	case r.phase == starting && r.startsSent < maxStartsSent && r.target.acceptsStarts():
 		m.sendStart(r, now)
 	case r.phase == starting && r.unanswered:
 		m.stop(r, "start not answered", now)
--- a/internal/work/dispatch/straggler.go
+++ b/internal/work/dispatch/straggler.go
@@ -6,12 +6,12 @@
 
 // Figures of stragglers.
 const (
-	// standTime is how long a run may report the same progress before it counts
+	// stallTime is how long a run may report the same progress before it counts
 	// as standing still, at least; standShare the same as a share of its estimate.
 	// Reports come every two seconds at the latest, and a hundredth of the longest
 	// runs takes a tenth of a second.
-	standTime  = 1800 * time.Millisecond
-	standShare = 0.3
+	stallTime  = 1800 * time.Millisecond
+	stallShare = 0.3
 	// measureTime is the least time over which a speed is measured: in less, whole
 	// percents are too coarse.
 	measureTime = 700 * time.Millisecond
@@ -19,67 +19,67 @@
 	// longer, and so much longer, here than from its checkpoint elsewhere.
 	moveGain = 1.5
 	moveCost = time.Second
-	// standLong is how long a run stands still before it is given up though its
+	// longStall is how long a run stands still before it is given up though its
 	// work is lost: standstills mostly pass within some seconds.
-	standLong = 8 * time.Second
+	longStall = 8 * time.Second
 )
 
-// watch looks at the progress of a target's runs, as it was just reported, and
+// checkProgress looks at the progress of a target's runs, as it was just reported, and
 // moves those that stand still or run far slower than they would elsewhere.
-func (m *Machine) watch(t *target, now time.Time) {
+func (m *Machine) checkProgress(t *target, now time.Time) {
 	for _, r := range t.sortedRuns() {
-		if r.phase != running || r.task.step.spec.Lasting || r.task.step.job.spec.Once || r.share < 100 || r.task.step.job.over() {
+		if r.phase != running || r.task.step.spec.Lasting || r.task.step.job.spec.Once || r.paceShare < 100 || r.task.step.job.finished() {
 			continue
 		}
-		m.vouch(r, now)
+		m.recordHealthyRun(r, now)
 		switch {
-		case r.standsStill(now):
-			m.stuck(r, now)
-		case m.crawls(r, now):
+		case r.isStalled(now):
+			m.runStalled(r, now)
+		case m.straggles(r, now):
 			m.moveRun(r, "it runs slowly", now)
-		case t.Draining && m.isCutShort(r, now):
+		case t.Draining && m.outlastsTarget(r, now):
 			m.moveRun(r, "its target leaves before it ends", now)
 		}
 	}
 }
 
-// stuck takes in that a run stands still.
-func (m *Machine) stuck(r *run, now time.Time) {
-	since := now.Sub(r.movedAt)
+// runStalled takes in that a run stands still.
+func (m *Machine) runStalled(r *run, now time.Time) {
+	since := now.Sub(r.progressedAt)
 	was := r.target.health.Condemned(now)
 	r.target.health.StoodStill(now)
-	m.suspect(r.target, was, "a run stands still there", r.Task, now)
-	if !r.stuck {
-		r.stuck = true
+	m.logIfQuarantined(r.target, was, "a run stands still there", r.Task, now)
+	if !r.stalled {
+		r.stalled = true
 		m.log.Decided("run stands still", "target", r.target.ID, "task", r.Task, "run", r.Number, "percent", r.percent, "sinceMS", since.Milliseconds())
 	}
-	if r.task.step.spec.Checkpointing || since >= standLong {
+	if r.task.step.spec.Checkpointing || since >= longStall {
 		m.moveRun(r, "it stands still", now)
 	}
 }
 
-// progressed takes in the progress that a target reports of a run.
-func (r *run) progressed(percent int, now time.Time) {
-	if r.movedAt.IsZero() || percent != r.percent {
-		r.movedAt, r.stuck = now, false
+// updateProgress takes in the progress that a target reports of a run.
+func (r *run) updateProgress(percent int, now time.Time) {
+	if r.progressedAt.IsZero() || percent != r.percent {
+		r.progressedAt, r.stalled = now, false
 	}
-	if r.firstAt.IsZero() && percent > 0 {
-		r.firstAt, r.firstPercent = now, percent
+	if r.firstProgressAt.IsZero() && percent > 0 {
+		r.firstProgressAt, r.firstPercent = now, percent
 	}
 	r.percent, r.reportedAt = percent, now
 }
 
-// standsStill reports whether a run that had begun to work does not go on.
-func (r *run) standsStill(now time.Time) bool {
-	if r.percent >= 100 || r.movedAt.IsZero() {
+// isStalled reports whether a run that had begun to work does not go on.
+func (r *run) isStalled(now time.Time) bool {
+	if r.percent >= 100 || r.progressedAt.IsZero() {
 		return false
 	}
-	limit := max(standTime, time.Duration(standShare*float64(r.task.step.spec.Estimate)))
-	return now.Sub(r.movedAt) >= limit && r.works()
+	limit := max(stallTime, time.Duration(stallShare*float64(r.task.step.spec.Estimate)))
+	return now.Sub(r.progressedAt) >= limit && r.allMembersRunning()
 }
 
-// works reports whether the run is not waiting for other members of its gang.
-func (r *run) works() bool {
+// allMembersRunning reports whether the run is not waiting for other members of its gang.
+func (r *run) allMembersRunning() bool {
 	if !r.task.step.spec.Gang {
 		return true
 	}
@@ -94,8 +94,8 @@
 // speed returns the work that a run does, by its estimate, against the time that
 // it takes; 0 if it cannot be told yet.
 func (r *run) speed(far float64) float64 {
-	span := r.reportedAt.Sub(r.firstAt)
-	if r.firstAt.IsZero() || span < measureTime {
+	span := r.reportedAt.Sub(r.firstProgressAt)
+	if r.firstProgressAt.IsZero() || span < measureTime {
 		return 0
 	}
 	estimate := r.task.step.spec.Estimate.Seconds()
@@ -128,18 +128,18 @@
 	return false
 }
 
-// crawls reports whether a run goes on so slowly that it would end earlier from
+// straggles reports whether a run goes on so slowly that it would end earlier from
 // its checkpoint on a sound target. The speed of its step's other tasks tells how
 // far its estimate is off. Runs that would begin anew are left: they would
 // lose more than they gain.
-func (m *Machine) crawls(r *run, now time.Time) bool {
+func (m *Machine) straggles(r *run, now time.Time) bool {
 	peers := m.peersOf(r.task.step, now)
 	far := m.farFactor(r, peers.severalRacks)
 	speed := r.speed(far)
 	if speed == 0 {
 		return false
 	}
-	usual := peers.usualFor(r.target)
+	usual := peers.expectedSpeed(r.target)
 	r.target.health.Ran(speed/usual, now)
 	if !r.target.health.Slow(now) || !r.task.step.spec.Checkpointing {
 		return false
@@ -152,21 +152,21 @@
 	return here > moveGain*left*estimate/usual+moveCost.Seconds()
 }
 
-// peersFor is how long what is known of a step's tasks together is used: a wide step
+// peersMaxAge is how long what is known of a step's tasks together is used: a wide step
 // runs on hundreds of targets, and each of their reports would look at all its tasks.
-const peersFor = 100 * time.Millisecond
+const peersMaxAge = 100 * time.Millisecond
 
 // peers is what is known of a step's tasks together.
 type peers struct {
-	asOf             time.Time
-	severalRacks     bool
-	target           *target // of the fastest task; nil: none is known
-	speed, elsewhere float64 // of the fastest task, and of the fastest on other targets; 0: not known
+	asOf                  time.Time
+	severalRacks          bool
+	target                *target // of the fastest task; nil: none is known
+	speed, elsewhereSpeed float64 // of the fastest task, and of the fastest on other targets; 0: not known
 }
 
 // peersOf returns what is known of a step's tasks together, as of a moment ago.
 func (m *Machine) peersOf(s *step, now time.Time) *peers {
-	if now.Sub(s.peers.asOf) < peersFor {
+	if now.Sub(s.peers.asOf) < peersMaxAge {
 		return &s.peers
 	}
 	s.peers = peers{asOf: now, severalRacks: s.spec.SameRack && s.onSeveralRacks()}
@@ -185,18 +185,18 @@
 	case t == p.target:
 		p.speed = max(p.speed, speed)
 	case speed > p.speed:
-		p.target, p.speed, p.elsewhere = t, speed, p.speed
+		p.target, p.speed, p.elsewhereSpeed = t, speed, p.speed
 	default:
-		p.elsewhere = max(p.elsewhere, speed)
+		p.elsewhereSpeed = max(p.elsewhereSpeed, speed)
 	}
 }
 
-// usualFor returns the speed of the fastest task on another target than the one given,
+// expectedSpeed returns the speed of the fastest task on another target than the one given,
 // or 1 if none is known.
-func (p *peers) usualFor(t *target) float64 {
+func (p *peers) expectedSpeed(t *target) float64 {
 	usual := p.speed
 	if p.target == t {
-		usual = p.elsewhere
+		usual = p.elsewhereSpeed
 	}
 	if usual == 0 {
 		return 1
@@ -204,20 +204,20 @@
 	return usual
 }
 
-// isCutShort reports whether a run on a target that leaves will not end before it
+// outlastsTarget reports whether a run on a target that leaves will not end before it
 // does. One that loses its work by a move is left to its luck: targets often stay
 // somewhat longer than they must.
-func (m *Machine) isCutShort(r *run, now time.Time) bool {
+func (m *Machine) outlastsTarget(r *run, now time.Time) bool {
 	left := r.expectedLeft(now)
-	stays := time.Duration(r.target.Remains)*time.Millisecond - now.Sub(r.target.remainsAt)
+	stays := time.Duration(r.target.Remains)*time.Millisecond - now.Sub(r.target.remainsToldAt)
 	if r.task.step.spec.Checkpointing && !r.task.step.spec.Gang {
 		return left > stays
 	}
-	return left > stays+drainLuck
+	return left > stays+drainGrace
 }
 
-// drainLuck is how much longer than it must a target is hoped to stay.
-const drainLuck = 4 * time.Second
+// drainGrace is how much longer than it must a target is hoped to stay.
+const drainGrace = 4 * time.Second
 
 // expectedLeft returns how much longer a run is expected to take.
 func (r *run) expectedLeft(now time.Time) time.Duration {
@@ -237,8 +237,8 @@
 		m.moveGang(r, why, now)
 		return
 	}
-	x.tried().shun(r.target)
-	t := m.choose(x, now)
+	x.attempts().avoid(r.target)
+	t := m.chooseTarget(x, now)
 	if t == nil || t == r.target {
 		return
 	}
@@ -250,7 +250,7 @@
 		return
 	}
 	m.log.Decided("second run", "task", r.Task, "reason", why)
-	m.startIfFits([]*run{m.place(x, t, x.highest+1, now)})
+	m.recordIfFits([]*run{m.place(x, t, x.highestRun+1, now)})
 }
 
 // moveGang ends a whole gang for the sake of one member.
--- a/internal/work/dispatch/straggler_test.go
+++ b/internal/work/dispatch/straggler_test.go
@@ -9,7 +9,7 @@
 
 // onlyTarget returns the target on which a job runs.
 func (d *drive) onlyTarget(id string) string {
-	for _, x := range d.m.byID {
+	for _, x := range d.m.targetsByID {
 		for r := range x.runs {
 			if string(r.Task.Job) == id {
 				return x.ID
@@ -77,7 +77,7 @@
 func TestFailingTargetIsShunned(t *testing.T) {
 	is := is.New(t)
 	d := newDrive(t, 1, 3, DefaultBounds())
-	bad := d.m.byID[0].ID // gets the first tasks
+	bad := d.m.targetsByID[0].ID // gets the first tasks
 	d.p.FailAll(bad, true)
 	for range 12 {
 		d.submit(2, time.Second, small(1))
@@ -109,7 +109,7 @@
 			list[i].Remains = 2000
 		}
 	}
-	d.m.Listed(list, d.now, d.now)
+	d.m.UpdateTargets(list, d.now, d.now)
 	d.run(3 * time.Second)
 	is.True(d.onlyTarget(string(id)) != old)
 	d.run(10 * time.Second)
--- a/internal/work/dispatch/touch_test.go
+++ b/internal/work/dispatch/touch_test.go
@@ -14,7 +14,7 @@
 // cutZone loses what is sent to a zone's targets from now on.
 func (d *drive) cutZone(zone string) {
 	away := map[string]bool{}
-	for _, t := range d.m.byID {
+	for _, t := range d.m.targetsByID {
 		away[t.ID] = t.Zone == zone
 	}
 	d.lose = func(c Command) bool { return away[targetOf(c)] }
@@ -28,7 +28,7 @@
 func TestNothingGoesToAZoneThatIsCutOff(t *testing.T) {
 	is := is.New(t)
 	d := newDrive(t, 3, 4, DefaultBounds())
-	zone := d.m.byID[0].Zone // its rack is tried first
+	zone := d.m.targetsByID[0].Zone // its rack is tried first
 	d.cutZone(zone)
 	first := d.submit(0, 2*time.Second, urgent(2, 8))
 	d.run(500 * time.Millisecond)
@@ -45,8 +45,8 @@
 	d.lose = nil
 	d.run(8 * time.Second)
 	is.True(d.took(first) > 0)
-	for _, x := range d.m.byID {
-		is.True(x.inTouch())
+	for _, x := range d.m.targetsByID {
+		is.True(x.responsive())
 	}
 	d.check()
 }
@@ -58,15 +58,15 @@
 func TestReportsThatBreakShowThatAZoneIsCutOff(t *testing.T) {
 	is := is.New(t)
 	d := newDrive(t, 3, 8, DefaultBounds())
-	zone := d.m.byID[0].Zone
+	zone := d.m.targetsByID[0].Zone
 	d.submit(2, 8*time.Second, urgent(3, 8)) // on three targets of the zone
 	d.run(1500 * time.Millisecond)
 	d.cutZone(zone)
 	broken := 0
-	for _, x := range d.m.byID {
-		if x.Zone == zone && x.holding {
+	for _, x := range d.m.targetsByID {
+		if x.Zone == zone && x.pollPending {
 			broken++
-			d.m.HoldFailed(x.ID, Hold{Sent: x.heldAt, Order: order.Hold{Wait: holdWait}}, order.ErrUnanswered, d.now)
+			d.m.PollFailed(x.ID, Poll{Sent: x.pollSentAt, Order: order.Hold{Wait: maxPollWait}}, order.ErrUnanswered, d.now)
 		}
 	}
 	is.Equal(broken, 3)
@@ -93,11 +93,11 @@
 	d.submit(2, time.Second, small(1)) // ends in the moment of the crash
 	d.run(1100 * time.Millisecond)
 	bad := map[string]bool{}
-	for _, x := range d.m.byID {
-		if x.holding && len(x.runs) > 0 && len(bad) < 2 {
+	for _, x := range d.m.targetsByID {
+		if x.pollPending && len(x.runs) > 0 && len(bad) < 2 {
 			bad[x.ID] = true
 			d.p.Kill(x.ID, d.now)
-			d.m.HoldFailed(x.ID, Hold{Sent: x.heldAt, Order: order.Hold{Wait: holdWait}}, order.ErrUnanswered, d.now)
+			d.m.PollFailed(x.ID, Poll{Sent: x.pollSentAt, Order: order.Hold{Wait: maxPollWait}}, order.ErrUnanswered, d.now)
 		}
 	}
 	is.Equal(len(bad), 2)
@@ -119,25 +119,25 @@
 	d := newDrive(t, 3, 4, DefaultBounds())
 	id := d.submit(2, 2*time.Second, small(80)) // on all targets
 	d.run(500 * time.Millisecond)
-	zone := d.m.byID[0].Zone
+	zone := d.m.targetsByID[0].Zone
 	lost := map[string]bool{}
-	for _, x := range d.m.byID {
+	for _, x := range d.m.targetsByID {
 		lost[x.ID] = x.Zone == zone
 	}
-	first := d.m.byID[0].ID
+	first := d.m.targetsByID[0].ID
 	d.lose = func(c Command) bool {
-		h, hold := c.(Hold)
-		return lost[targetOf(c)] && (!hold || !h.Look) // what was sent into the cut is lost
+		h, hold := c.(Poll)
+		return lost[targetOf(c)] && (!hold || !h.Extra) // what was sent into the cut is lost
 	}
 	d.run(4 * time.Second)
-	is.Equal(d.m.targets[first].reach, silent)
+	is.Equal(d.m.targets[first].reach, unreachable)
 	back := d.now
 	lost[first] = false
 	d.run(900 * time.Millisecond)
-	for _, x := range d.m.byID {
+	for _, x := range d.m.targetsByID {
 		if x.Zone == zone {
-			is.Equal(x.reach, held)
-			is.True(x.heardAt.Sub(back) < 900*time.Millisecond)
+			is.Equal(x.reach, reachable)
+			is.True(x.reportedAt.Sub(back) < 900*time.Millisecond)
 		}
 	}
 	d.lose = nil
@@ -151,11 +151,11 @@
 func TestOneSilentTargetIsNotAZone(t *testing.T) {
 	is := is.New(t)
 	d := newDrive(t, 1, 4, DefaultBounds())
-	bad := d.m.byID[0].ID
+	bad := d.m.targetsByID[0].ID
 	d.lose = func(c Command) bool { return targetOf(c) == bad }
 	d.submit(2, time.Second, small(1))
 	d.run(500 * time.Millisecond)
-	is.True(!d.m.byID[0].inTouch())
+	is.True(!d.m.targetsByID[0].responsive())
 	id := d.submit(0, 2*time.Second, urgent(3, 8))
 	d.run(3 * time.Second)
 	is.True(d.took(id) > 0)
@@ -169,11 +169,11 @@
 func TestIdleTargetsAreAskedWhenTheirZoneSeemsCutOff(t *testing.T) {
 	is := is.New(t)
 	d := newDrive(t, 1, 5, DefaultBounds())
-	bad := map[string]bool{d.m.byID[0].ID: true, d.m.byID[1].ID: true}
+	bad := map[string]bool{d.m.targetsByID[0].ID: true, d.m.targetsByID[1].ID: true}
 	d.lose = func(c Command) bool { return bad[targetOf(c)] }
 	d.submit(2, 6*time.Second, small(9)) // on both
 	d.run(500 * time.Millisecond)
-	is.True(!d.m.byID[1].inTouch())
+	is.True(!d.m.targetsByID[1].responsive())
 	id := d.submit(0, 2*time.Second, urgent(3, 8))
 	d.run(3 * time.Second)
 	is.True(d.took(id) > 0)
@@ -192,9 +192,9 @@
 	d.mute = func(c Command) bool { _, ok := c.(Start); return ok }
 	d.submit(2, 6*time.Second, small(1))
 	d.run(370 * time.Millisecond)
-	is.True(!d.m.byID[0].inTouch())
+	is.True(!d.m.targetsByID[0].responsive())
 	d.run(150 * time.Millisecond) // before the start is sent again
-	is.True(d.m.byID[0].inTouch())
+	is.True(d.m.targetsByID[0].responsive())
 	d.mute = nil
 	d.run(8 * time.Second)
 	d.check()
@@ -206,11 +206,11 @@
 func TestNewLeaderAsksEachTargetOnce(t *testing.T) {
 	is := is.New(t)
 	m, now := New(2, DefaultBounds()), time.Unix(1000, 0)
-	m.Listed([]roster.Target{{ID: "a", Zone: "z"}, {ID: "b", Zone: "z"}, {ID: "c", Zone: "z"}}, now, now)
-	m.Begin(now, now)
+	m.UpdateTargets([]roster.Target{{ID: "a", Zone: "z"}, {ID: "b", Zone: "z"}, {ID: "c", Zone: "z"}}, now, now)
+	m.EnablePlacement(now, now)
 	holds := func() (n int) {
 		for _, c := range m.Decide(now) {
-			if _, ok := c.(Hold); ok {
+			if _, ok := c.(Poll); ok {
 				n++
 			}
 		}
@@ -218,6 +218,6 @@
 	}
 	is.Equal(holds(), 3)
 	now = now.Add(500 * time.Millisecond)
-	m.Held("a", Hold{Sent: now}, order.Report{Clock: 1}, now)
+	m.Polled("a", Poll{Sent: now}, order.Report{Clock: 1}, now)
 	is.Equal(holds(), 0)
 }
--- a/internal/work/dispatch/trust_test.go
+++ b/internal/work/dispatch/trust_test.go
@@ -12,7 +12,7 @@
 
 // fastFailers has every sixth target fail all that it starts from now on, or end it.
 func (d *drive) fastFailers(on bool) {
-	for i, t := range d.m.byID {
+	for i, t := range d.m.targetsByID {
 		if i%6 == 0 {
 			d.p.FailAll(t.ID, on)
 		}
@@ -79,7 +79,7 @@
 		d.submit(2, time.Duration(2000+200*i)*time.Millisecond, small(1))
 	}
 	d.run(1500 * time.Millisecond)
-	bad := d.m.byID[0]
+	bad := d.m.targetsByID[0]
 	is.Equal(len(bad.runs), 4)
 	d.p.FailAll(bad.ID, true)
 	d.submit(2, 5*time.Second, small(12)) // four fail there
@@ -98,7 +98,7 @@
 func TestTargetIsTriedWithOneRun(t *testing.T) {
 	is := is.New(t)
 	d := newDrive(t, 1, 1, DefaultBounds())
-	only := d.m.byID[0]
+	only := d.m.targetsByID[0]
 	d.p.FailAll(only.ID, true)
 	d.submit(2, 2*time.Second, small(1))
 	d.run(200 * time.Millisecond)
@@ -121,18 +121,18 @@
 	d := newDrive(t, 2, 6, DefaultBounds())
 	id := d.submit(2, 10*time.Millisecond, small(40))
 	d.m.jobs[id].spec.MaxAttempts = 9
-	for _, x := range d.m.byID {
+	for _, x := range d.m.targetsByID {
 		d.p.FailAll(x.ID, true)
 	}
 	d.run(2 * time.Second)
 	condemned := 0
-	for _, x := range d.m.byID {
+	for _, x := range d.m.targetsByID {
 		if x.health.Condemned(d.now) {
 			condemned++
 		}
 	}
 	is.True(condemned > 0)
-	is.True(condemned <= blameMost)
+	is.True(condemned <= maxFailedTargets)
 }
 
 // The only other target is full for long, and the one that failed a task is no longer
@@ -140,10 +140,10 @@
 func TestTaskDoesNotGoBack(t *testing.T) {
 	is := is.New(t)
 	d := newDrive(t, 1, 2, DefaultBounds())
-	bad := d.m.byID[0]
+	bad := d.m.targetsByID[0]
 	d.submit(2, 8*time.Second, small(8))
 	d.run(500 * time.Millisecond)
-	for _, x := range d.m.byID {
+	for _, x := range d.m.targetsByID {
 		if len(x.runs) == 0 {
 			bad = x
 		}
@@ -165,7 +165,7 @@
 func TestLastAttemptGoesToAProvenTarget(t *testing.T) {
 	is := is.New(t)
 	d, x := newLastAttempt(t)
-	proven := d.m.byID[2]
+	proven := d.m.targetsByID[2]
 	proven.health.Succeeded(d.now.Add(-time.Second), d.now)
 	d.run(time.Second)
 	is.Equal(len(x.runs), 0)
@@ -182,7 +182,7 @@
 	is := is.New(t)
 	d, x := newLastAttempt(t)
 	d.run(500 * time.Millisecond)
-	proven := d.m.byID[2]
+	proven := d.m.targetsByID[2]
 	proven.health.Succeeded(d.now.Add(-300*time.Millisecond), d.now)
 	d.run(200 * time.Millisecond)
 	is.Equal(len(x.runs), 1)
@@ -198,13 +198,13 @@
 	d := newDrive(t, 1, 3, DefaultBounds())
 	d.submit(2, 9*time.Second, small(5)) // on the target that fits best from then on
 	d.run(5 * time.Second)
-	old := d.m.byID[0]
+	old := d.m.targetsByID[0]
 	is.Equal(len(old.runs), 5)
 	d.p.FailAll(old.ID, true)
 	id := d.submit(2, time.Second, small(1))
 	d.m.jobs[id].spec.MaxAttempts = 2
 	d.run(100 * time.Millisecond)
 	x := d.m.jobs[id].steps[0].tasks[0]
-	is.Equal(len(x.own.failed), 1)
+	is.Equal(len(x.ownAttempts.failed), 1)
 	return d, x
 }
--- a/internal/work/dispatch/urgency.go
+++ b/internal/work/dispatch/urgency.go
@@ -10,9 +10,9 @@
 // by itself; at its end up to what the users' prices make even: a job that ends
 // in time earns about four times what its own work is worth as waste.
 const (
-	lossAtFirst = 2.0
-	lossAtLast  = 4.0
-	lossTooLate = 1.0
+	initialLossFactor = 2.0
+	finalLossFactor   = 4.0
+	lateLossFactor    = 1.0
 )
 
 // reclaimMargin is kept of the time within which guaranteed work must have
@@ -22,57 +22,57 @@
 // allowedLoss returns how many core-seconds may be thrown away now to make room
 // for a step, whole or for one of its tasks.
 func (m *Machine) allowedLoss(s *step, tasks int, now time.Time) float64 {
-	if m.mustBegin(s, now) {
+	if m.guaranteeDue(s, now) {
 		return math.Inf(1)
 	}
-	size := weight(s.spec.Needs) * s.spec.Estimate.Seconds() * float64(tasks)
+	size := coreEquivalents(s.spec.Needs) * s.spec.Estimate.Seconds() * float64(tasks)
 	wall := m.wallMS(now)
-	slack := s.latestStart() - s.anchor()
+	slack := s.latestStartForObjective() - s.releaseTime()
 	switch {
-	case wall >= s.latestStart() || slack <= 0:
-		return lossTooLate * size
+	case wall >= s.latestStartForObjective() || slack <= 0:
+		return lateLossFactor * size
 	default:
-		used := float64(wall-s.anchor()) / float64(slack)
-		return (lossAtFirst + (lossAtLast-lossAtFirst)*used) * size
+		used := float64(wall-s.releaseTime()) / float64(slack)
+		return (initialLossFactor + (finalLossFactor-initialLossFactor)*used) * size
 	}
 }
 
-// mustBegin reports whether a step must have begun by the time that its account
+// guaranteeDue reports whether a step must have begun by the time that its account
 // is guaranteed, and that time is near: room is then cleared at any cost.
-func (m *Machine) mustBegin(s *step, now time.Time) bool {
+func (m *Machine) guaranteeDue(s *step, now time.Time) bool {
 	j := s.job
 	if j.spec.Priority != 0 || len(s.spec.After) > 0 || !m.withinGuarantee(j.spec.Account) {
 		return false
 	}
 	// A stop and a start follow each other. On a host that orders slowly, room that is
 	// cleared at the usual time comes too late.
-	due := s.anchor() + (m.bounds.ReclaimTime - m.bounds.StopTime - reclaimMargin - 2*m.orderTime).Milliseconds()
+	due := s.releaseTime() + (m.bounds.ReclaimTime - m.bounds.MaxStopTime - reclaimMargin - 2*m.orderTime).Milliseconds()
 	return m.wallMS(now) >= due
 }
 
 // withinGuarantee reports whether all that an account's open jobs of priority 0
 // want is guaranteed to it.
 func (m *Machine) withinGuarantee(account string) bool {
-	sure := m.guaranteed[account]
-	if sure == 0 {
+	guaranteed := m.guaranteed[account]
+	if guaranteed == 0 {
 		return false
 	}
 	if m.pass.wanted == nil {
 		m.pass.wanted = m.wantedByAccount()
 	}
-	return m.pass.wanted[account] <= sure
+	return m.pass.wanted[account] <= guaranteed
 }
 
 // wantedByAccount returns how many accelerators the open jobs of priority 0 want.
 func (m *Machine) wantedByAccount() map[string]int {
 	wanted := map[string]int{}
 	for _, j := range m.jobs {
-		if j.spec.Priority != 0 || j.over() {
+		if j.spec.Priority != 0 || j.finished() {
 			continue
 		}
 		for _, s := range j.steps {
 			if !s.done {
-				wanted[j.spec.Account] += s.undone * s.spec.Needs.Accelerators
+				wanted[j.spec.Account] += s.tasksLeft * s.spec.Needs.Accelerators
 			}
 		}
 	}
--- a/internal/work/dispatch/warming.go
+++ b/internal/work/dispatch/warming.go
@@ -11,30 +11,30 @@
 // up that sound targets could do. So such a target gets a share of its capacity that
 // grows to the whole while it warms up, and work goes to warm targets first.
 
-// noteCold takes in how long a target says that it is still slow.
-func (t *target) noteCold(cold int64, now time.Time) {
+// startWarmUp takes in how long a target says that it is still slow.
+func (t *target) startWarmUp(cold int64, now time.Time) {
 	span := time.Duration(cold) * time.Millisecond
-	t.warmAt = now.Add(span)
-	t.coldSpan = max(t.coldSpan, span)
-	t.warmUp(now)
+	t.warmUpEnd = now.Add(span)
+	t.warmUpTime = max(t.warmUpTime, span)
+	t.updateWarmUp(now)
 }
 
-// warmUp brings the share of the target's capacity up to date that may be used.
-func (t *target) warmUp(now time.Time) {
-	left := t.warmAt.Sub(now)
-	if t.coldSpan <= 0 || left <= 0 {
-		t.coldSpan, t.coldShare = 0, 0
+// updateWarmUp brings the share of the target's capacity up to date that may be used.
+func (t *target) updateWarmUp(now time.Time) {
+	left := t.warmUpEnd.Sub(now)
+	if t.warmUpTime <= 0 || left <= 0 {
+		t.warmUpTime, t.coldShare = 0, 0
 		return
 	}
-	t.coldShare = float64(left) / float64(t.coldSpan)
+	t.coldShare = float64(left) / float64(t.warmUpTime)
 }
 
 // cold reports whether the target is still slow after its start.
 func (t *target) cold() bool { return t.coldShare > 0 }
 
-// capacity returns what of the target's capacity may be used. One that has nothing to do
+// usableCapacity returns what of the target's usableCapacity may be used. One that has nothing to do
 // may always be given something.
-func (t *target) capacity() graph.Resources {
+func (t *target) usableCapacity() graph.Resources {
 	if !t.cold() || len(t.runs) == 0 {
 		return t.Capacity
 	}
--- a/internal/work/dispatch/warming_test.go
+++ b/internal/work/dispatch/warming_test.go
@@ -15,7 +15,7 @@
 			list[i].Cold = cold.Milliseconds()
 		}
 	}
-	d.m.Listed(list, d.now, d.now)
+	d.m.UpdateTargets(list, d.now, d.now)
 	d.decide()
 }
 
