--- a/internal/work/dispatch/advice_test.go
+++ b/internal/work/dispatch/advice_test.go
@@ -13,11 +13,11 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// newAdvised returns a machine over four targets with a job whose queue wants
+// newAdviceFixture returns a machine over four targets with a job whose queue wants
 // advice.
-func newAdvised(t *testing.T, tasks int) (*standing, graph.JobID) {
+func newAdviceFixture(t *testing.T, tasks int) (*fixture, graph.JobID) {
 	t.Helper()
-	s := &standing{Machine: New(7, DefaultBounds()), now: time.Unix(1000, 0)}
+	s := &fixture{Machine: New(7, DefaultBounds()), now: time.Unix(1000, 0)}
 	var list []roster.Target
 	for i := range 4 {
 		name := fmt.Sprintf("t%d", i)
@@ -28,14 +28,14 @@
 		s.Polled(l.ID, Poll{Sent: s.now}, order.Report{Clock: 5000}, s.now)
 	}
 	s.EnablePlacement(s.now, s.now)
-	j := one("00000000000000ba", tasks)
+	j := testJob("00000000000000ba", tasks)
 	j.Advised, j.AdviceValid = true, 3*time.Second
 	s.Accept(j, s.now)
 	return s, j.ID
 }
 
 // commands returns the commands of one kind, and takes saves as done.
-func commands[C Command](s *standing) (list []C) {
+func commands[C Command](s *fixture) (list []C) {
 	for range 2 {
 		s.now = s.now.Add(time.Millisecond) // a pass rests a little after the one before
 		for _, c := range s.Decide(s.now) {
@@ -54,7 +54,7 @@
 // advice service was asked; then all tasks run on that target, with its ticket.
 func TestAdvice(t *testing.T) {
 	is := is.New(t)
-	s, _ := newAdvised(t, 3)
+	s, _ := newAdviceFixture(t, 3)
 	asked := commands[Advise](s)
 	is.Equal(len(asked), 1) // one call at a time
 	is.Equal(asked[0].Targets, []string{"t0", "t1", "t2", "t3"})
@@ -71,7 +71,7 @@
 // again; those that may not run the step are not.
 func TestTicketsExpire(t *testing.T) {
 	is := is.New(t)
-	s, _ := newAdvised(t, 10)
+	s, _ := newAdviceFixture(t, 10)
 	asked := commands[Advise](s)
 	s.Advised(asked[0], []order.Permit{{Target: "t2", Ticket: "leave"}}, 3*time.Second, s.now, nil, s.now)
 	is.Equal(len(commands[Start](s)), 8)
@@ -85,7 +85,7 @@
 // The service refuses, or does not answer: it is asked again after a pause.
 func TestNoAdvice(t *testing.T) {
 	is := is.New(t)
-	s, _ := newAdvised(t, 1)
+	s, _ := newAdviceFixture(t, 1)
 	asked := commands[Advise](s)
 	s.Advised(asked[0], nil, 0, s.now, errors.New("busy"), s.now)
 	is.Equal(len(commands[Advise](s)), 0)
@@ -98,7 +98,7 @@
 // again, and the start is not repeated with the same ticket.
 func TestTicketRefused(t *testing.T) {
 	is := is.New(t)
-	s, _ := newAdvised(t, 1)
+	s, _ := newAdviceFixture(t, 1)
 	asked := commands[Advise](s)
 	s.Advised(asked[0], []order.Permit{{Target: "t1", Ticket: "bad"}}, 3*time.Second, s.now, nil, s.now)
 	c := commands[Start](s)[0]
--- a/internal/work/dispatch/backlog_test.go
+++ b/internal/work/dispatch/backlog_test.go
@@ -13,8 +13,8 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// jobOf returns a job of one step, accepted now.
-func (d *drive) jobOf(n, priority int, step graph.Step) *graph.Job {
+// makeJob returns a job of one step, accepted now.
+func (d *simulation) makeJob(n, priority int, step graph.Step) *graph.Job {
 	step.Estimate = 5 * time.Second
 	j := &graph.Job{
 		ID: graph.JobID(fmt.Sprintf("%016x", n)), Queue: "q", Service: "s", Account: "a", Priority: priority, MaxAttempts: 3,
@@ -24,8 +24,8 @@
 	return j
 }
 
-// ordered returns the starts that a decision asks for once its notes are saved.
-func ordered(d *drive) (starts []Start) {
+// savedStarts returns the starts that a decision asks for once its notes are saved.
+func savedStarts(d *simulation) (starts []Start) {
 	for _, c := range d.m.Decide(d.now) {
 		switch c := c.(type) {
 		case Start:
@@ -33,16 +33,16 @@
 		case Save:
 			d.version++
 			d.m.Saved(c.Part, d.version, d.now)
-			starts = append(starts, ordered(d)...)
+			starts = append(starts, savedStarts(d)...)
 		}
 	}
 	return starts
 }
 
-// begin has the machine start what it would, and has all starts answered.
-func (d *drive) begin() {
+// startAll has the machine start what it would, and has all starts answered.
+func (d *simulation) startAll() {
 	d.m.nextPassAt = time.Time{} // no pause since the last pass
-	for _, c := range ordered(d) {
+	for _, c := range savedStarts(d) {
 		d.m.StartAnswered(c.Target.ID, c.Order.Run, 1, nil, d.now)
 	}
 }
@@ -50,71 +50,71 @@
 // A step of 200 tasks comes to a host that can order 40 starts in a short time. It
 // placed and sent them all: what came next, however urgent, waited behind them. Now the
 // rest is placed as answers come, and urgent work goes between.
-func TestNoMoreThanTheHostCanOrder(t *testing.T) {
+func TestPendingStartsAreLimited(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 6, 8, DefaultBounds())
+	d := newSimulation(t, 6, 8, DefaultBounds())
 	d.m.SetMaxPendingStarts(40)
 	wide := small(200)
-	d.m.Accept(d.jobOf(1, 2, wide), d.now)
-	first := ordered(d)
+	d.m.Accept(d.makeJob(1, 2, wide), d.now)
+	first := savedStarts(d)
 	is.Equal(len(first), 40)
 	d.now = d.now.Add(backlogPause)
-	is.Equal(len(ordered(d)), 0) // none was answered
-	d.m.Accept(d.jobOf(2, 0, urgent(4, 1)), d.now)
-	is.Equal(len(ordered(d)), 4)
+	is.Equal(len(savedStarts(d)), 0) // none was answered
+	d.m.Accept(d.makeJob(2, 0, urgent(4, 1)), d.now)
+	is.Equal(len(savedStarts(d)), 4)
 	for _, c := range first {
 		d.m.StartAnswered(c.Target.ID, c.Order.Run, 1, nil, d.now)
 	}
 	d.now = d.now.Add(backlogPause)
-	is.Equal(len(ordered(d)), 36) // beside the four urgent ones
+	is.Equal(len(savedStarts(d)), 36) // beside the four urgent ones
 }
 
 // Starts that a target does not answer are not the host's: they hold up nothing once
 // their first try is over.
-func TestSilentTargetIsNoBacklog(t *testing.T) {
+func TestUnansweredStartsDoNotCountAsPending(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 6, 8, DefaultBounds())
+	d := newSimulation(t, 6, 8, DefaultBounds())
 	d.m.SetMaxPendingStarts(40)
-	d.m.Accept(d.jobOf(1, 2, small(60)), d.now)
-	first := ordered(d)
+	d.m.Accept(d.makeJob(1, 2, small(60)), d.now)
+	first := savedStarts(d)
 	is.Equal(len(first), 40)
 	for _, c := range first {
 		d.m.StartAnswered(c.Target.ID, c.Order.Run, 0, order.ErrUnanswered, d.now)
 	}
 	d.now = d.now.Add(backlogPause)
-	is.Equal(len(ordered(d)), 20)
+	is.Equal(len(savedStarts(d)), 20)
 }
 
 // What an account is guaranteed must begin in time, however much else is on its way.
-func TestGuaranteeWaitsForNoBacklog(t *testing.T) {
+func TestGuaranteedWorkIgnoresPendingStartLimit(t *testing.T) {
 	is := is.New(t)
 	b := DefaultBounds()
-	d := newDrive(t, 6, 8, b)
+	d := newSimulation(t, 6, 8, b)
 	d.m.SetGuarantees(map[string]int{"a": 100})
 	d.m.SetMaxPendingStarts(4)
-	d.m.Accept(d.jobOf(1, 0, urgent(4, 1)), d.now)
-	is.Equal(len(ordered(d)), 4)
-	d.m.Accept(d.jobOf(2, 0, urgent(4, 1)), d.now)
-	is.Equal(len(ordered(d)), 0)
+	d.m.Accept(d.makeJob(1, 0, urgent(4, 1)), d.now)
+	is.Equal(len(savedStarts(d)), 4)
+	d.m.Accept(d.makeJob(2, 0, urgent(4, 1)), d.now)
+	is.Equal(len(savedStarts(d)), 0)
 	d.now = d.now.Add(b.ReclaimTime - b.MaxStopTime - reclaimMargin + 10*time.Millisecond)
 	d.m.UpdateTargets(d.p.Roster(), d.now, d.now)
-	is.Equal(len(ordered(d)), 4)
+	is.Equal(len(savedStarts(d)), 4)
 }
 
 // A leader whose orders take a second clears room for guaranteed work so much earlier,
 // and its starts go before others. Cleared at the usual time, the work began a second
 // after it had to.
-func TestGuaranteeOverASlowHost(t *testing.T) {
+func TestGuaranteedWorkPreemptsEarlierOnSlowHost(t *testing.T) {
 	is := is.New(t)
 	b := DefaultBounds()
-	d := newDrive(t, 1, 8, b)
+	d := newSimulation(t, 1, 8, b)
 	d.m.SetGuarantees(map[string]int{"a": 100})
-	d.m.Accept(d.jobOf(1, 2, small(64)), d.now)
-	d.begin()
+	d.m.Accept(d.makeJob(1, 2, small(64)), d.now)
+	d.startAll()
 	d.now = d.now.Add(30 * time.Second) // all that runs is too dear to stop for less
 	const slow = 500 * time.Millisecond
 	d.m.SetOrderTime(slow)
-	d.m.Accept(d.jobOf(2, 0, urgent(4, 8)), d.now)
+	d.m.Accept(d.makeJob(2, 0, urgent(4, 8)), d.now)
 	s := d.m.openSteps[len(d.m.openSteps)-1]
 	usual := b.ReclaimTime - b.MaxStopTime - reclaimMargin
 	is.True(!d.m.guaranteeDue(s, d.now.Add(usual-2*slow-10*time.Millisecond)))
@@ -127,9 +127,9 @@
 // with the one that was listed first: a third of all orders of a leader were such.
 func TestEndedGangIsNotStopped(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 2, 8, DefaultBounds())
+	d := newSimulation(t, 2, 8, DefaultBounds())
 	stops := 0
-	d.lose = func(c Command) bool {
+	d.dropCommand = func(c Command) bool {
 		if _, ok := c.(Stop); ok {
 			stops++
 		}
@@ -137,7 +137,7 @@
 	}
 	id := d.submit(1, time.Second, urgent(16, 4))
 	d.run(3 * time.Second)
-	is.True(d.took(id) > 0)
+	is.True(d.duration(id) > 0)
 	is.Equal(stops, 0)
 	is.Equal(d.m.Counts().Runs, 0)
 	d.check()
--- a/internal/work/dispatch/ends.go
+++ b/internal/work/dispatch/ends.go
@@ -45,7 +45,7 @@
 	}
 	delete(t.runs, r.Run)
 	if r.phase == awaitingCapacity {
-		t.reserved = t.reserved.Minus(r.charge)
+		t.waitingCharge = t.waitingCharge.Minus(r.charge)
 	} else {
 		t.used = t.used.Minus(r.charge)
 	}
--- a/internal/work/dispatch/evacuation_test.go
+++ b/internal/work/dispatch/evacuation_test.go
@@ -15,13 +15,13 @@
 )
 
 // evacuate has the machine learn that just these zones are evacuated.
-func (d *drive) evacuate(zones ...string) {
+func (d *simulation) evacuate(zones ...string) {
 	d.m.SetEvacuated(evacuation.Status{AsOf: d.now}.With(zones...), d.now)
 	d.decide()
 }
 
 // startsIn returns how many runs were started in a zone.
-func (d *drive) startsIn(zone string) (n int) {
+func (d *simulation) startsIn(zone string) (n int) {
 	for _, t := range d.p.Roster() {
 		if t.Zone == zone {
 			n += d.p.StartsOn(t.ID)
@@ -30,8 +30,8 @@
 	return n
 }
 
-// logged returns how many decisions had such a line.
-func (d *drive) logged(what string) (n int) {
+// countLogged returns how many decisions had such a line.
+func (d *simulation) countLogged(what string) (n int) {
 	for _, l := range d.log {
 		if strings.Contains(l, what) {
 			n++
@@ -44,7 +44,7 @@
 // there meanwhile, and what runs there ends by itself.
 func TestNothingStartsInAnEvacuatedZone(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 3, 2, DefaultBounds())
+	d := newSimulation(t, 3, 2, DefaultBounds())
 	first := d.submit(2, 4*time.Second, small(40)) // in all zones
 	d.run(500 * time.Millisecond)
 	before := d.startsIn("z0")
@@ -72,20 +72,20 @@
 	for name, step := range map[string]graph.Step{"tasks": small(12), "gang": urgent(3, 8)} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := newDrive(t, 3, 3, DefaultBounds())
-			d.slowSaves = 2 * time.Second
+			d := newSimulation(t, 3, 3, DefaultBounds())
+			d.slowSaveTime = 2 * time.Second
 			d.evacuate("z1", "z2")
 			id := d.submit(0, time.Second, step)
 			d.run(500 * time.Millisecond)
 			d.evacuate("z0")
 			d.run(100 * time.Millisecond)
-			is.True(d.logged("run given up before it was sent") > 0)
-			d.slowSaves = 0
+			is.True(d.countLogged("run given up before it was sent") > 0)
+			d.slowSaveTime = 0
 			d.evacuate("z0", "z2")
 			d.run(8 * time.Second)
 			is.Equal(d.startsIn("z0"), 0)
 			is.Equal(d.startsIn("z1"), step.Count)
-			is.True(d.took(id) > 0)
+			is.True(d.duration(id) > 0)
 			d.check()
 		})
 	}
@@ -95,7 +95,7 @@
 // sent: the task goes elsewhere at once, and the target does not count as silent.
 func TestWithheldStartIsPlacedElsewhere(t *testing.T) {
 	is := is.New(t)
-	s := &standing{Machine: New(7, DefaultBounds()), now: time.Unix(1000, 0)}
+	s := &fixture{Machine: New(7, DefaultBounds()), now: time.Unix(1000, 0)}
 	var list []roster.Target
 	for i := range 2 {
 		name := fmt.Sprintf("t%d", i)
@@ -106,7 +106,7 @@
 		s.Polled(l.ID, Poll{Sent: s.now}, order.Report{Clock: 5000}, s.now)
 	}
 	s.EnablePlacement(s.now, s.now)
-	s.Accept(one("00000000000000ba", 1), s.now)
+	s.Accept(testJob("00000000000000ba", 1), s.now)
 	first := commands[Start](s)
 	is.Equal(len(first), 1)
 	s.SetEvacuated(evacuation.Status{AsOf: s.now}.With(first[0].Zone), s.now)
@@ -121,10 +121,10 @@
 // have been carried out, so the run is stopped, and the start is not repeated.
 func TestStartIsNotRepeatedInAnEvacuatedZone(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 2, 1, DefaultBounds())
+	d := newSimulation(t, 2, 1, DefaultBounds())
 	d.evacuate("z1")
 	starts := 0
-	d.lose = func(c Command) bool {
+	d.dropCommand = func(c Command) bool {
 		if s, ok := c.(Start); ok && s.Zone == "z0" {
 			starts++
 			return true
@@ -138,17 +138,17 @@
 	d.run(5 * time.Second)
 	is.Equal(starts, 1)
 	is.Equal(d.startsIn("z1"), 1)
-	is.True(d.took(id) > 0)
+	is.True(d.duration(id) > 0)
 	d.check()
 }
 
 // A leader has not heard of operators for as long as an evacuation may take to be in
 // force, and a zone may have been evacuated meanwhile: it starts nothing until it hears.
-func TestNothingStartsByOldKnowledgeOfEvacuations(t *testing.T) {
+func TestNothingStartsOnStaleEvacuationStatus(t *testing.T) {
 	is := is.New(t)
 	b := DefaultBounds()
 	b.MaxEvacuationAge = 4 * time.Second
-	d := newDrive(t, 2, 1, b)
+	d := newSimulation(t, 2, 1, b)
 	d.evacuate()
 	d.run(5 * time.Second)
 	id := d.submit(0, time.Second, small(2))
@@ -158,13 +158,13 @@
 	d.run(2 * time.Second)
 	is.Equal(d.startsIn("z0"), 0)
 	is.Equal(d.p.Starts(), 2)
-	is.True(d.took(id) > 0)
+	is.True(d.duration(id) > 0)
 	d.check()
 }
 
 // A target registers in a zone that is evacuated, and a new leader learns of the
 // evacuation before it has listed any target: neither starts anything there.
-func TestTargetsThatAppearInAnEvacuatedZoneGetNothing(t *testing.T) {
+func TestNewTargetsInEvacuatedZoneGetNoWork(t *testing.T) {
 	is := is.New(t)
 	m := New(1, DefaultBounds())
 	now := time.Unix(1000, 0)
@@ -177,18 +177,18 @@
 
 // So much is evacuated that the guarantees do not fit in the rest: that is told once, and
 // again when they fit.
-func TestGuaranteesThatCannotBeMetAreTold(t *testing.T) {
+func TestUnmetGuaranteesAreLogged(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 3, 2, DefaultBounds()) // 16 accelerators in each zone
+	d := newSimulation(t, 3, 2, DefaultBounds()) // 16 accelerators in each zone
 	d.m.SetGuarantees(map[string]int{"a": 20, "b": 10})
 	d.evacuate("z0")
-	is.Equal(d.logged("guarantees exceed"), 0)
+	is.Equal(d.countLogged("guarantees exceed"), 0)
 	d.evacuate("z0", "z1")
-	d.list()
-	is.Equal(d.logged("guarantees exceed"), 1)
+	d.listTargets()
+	is.Equal(d.countLogged("guarantees exceed"), 1)
 	f := d.m.Fleet(d.now)
 	is.Equal(f.Guaranteed, 30)
 	is.Equal(f.Usable, 16)
 	d.evacuate("z1")
-	is.Equal(d.logged("guarantees fit again"), 1)
+	is.Equal(d.countLogged("guarantees fit again"), 1)
 }
--- a/internal/work/dispatch/fit.go
+++ b/internal/work/dispatch/fit.go
@@ -37,7 +37,7 @@
 	charge := s.spec.Charge()
 	var best *target
 	var bestFit fit
-	m.considered += len(m.targetsByID)
+	m.targetsConsidered += len(m.targetsByID)
 	for _, t := range m.targetsByID {
 		if !s.eligible(t, now) || x.excludes(t, now) || m.reservedForOther(t, s) || !charge.Within(t.freeCapacity()) || s.perTargetLeft(t) <= 0 {
 			continue
--- a/internal/work/dispatch/fit_test.go
+++ b/internal/work/dispatch/fit_test.go
@@ -15,7 +15,7 @@
 // them.
 func TestLargeTasksAreSpread(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 8, DefaultBounds())
+	d := newSimulation(t, 1, 8, DefaultBounds())
 	d.submit(2, 6*time.Second, small(1))
 	d.run(100 * time.Millisecond)
 	d.submit(1, 8*time.Second, large(4, 1))
@@ -40,9 +40,9 @@
 
 // Small tasks fill targets on which something runs before they break into an
 // empty one, so whole targets stay free for gangs of large ones.
-func TestWholeTargetsAreKept(t *testing.T) {
+func TestSmallTasksArePackedOnUsedTargets(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 2, 4, DefaultBounds())
+	d := newSimulation(t, 2, 4, DefaultBounds())
 	for range 8 {
 		d.submit(2, 5*time.Second, small(2))
 		d.run(50 * time.Millisecond)
@@ -61,7 +61,7 @@
 // A gang that wants one rack and is larger than any runs over two, slower,
 // rather than never.
 func TestGangLargerThanARack(t *testing.T) {
-	d := newDrive(t, 2, 2, DefaultBounds())
+	d := newSimulation(t, 2, 2, DefaultBounds())
 	d.submit(1, 2*time.Second, large(4, 8))
 	d.run(10 * time.Second)
 	d.check()
@@ -71,7 +71,7 @@
 // room runs there.
 func TestDataRack(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 2, 2, DefaultBounds())
+	d := newSimulation(t, 2, 2, DefaultBounds())
 	s := small(1)
 	s.DataRack = "r1-1"
 	d.submit(2, 2*time.Second, s)
@@ -86,8 +86,8 @@
 }
 
 // Tasks of a step that are to be apart are, also while they are started again.
-func TestTasksApart(t *testing.T) {
-	d := newDrive(t, 1, 4, DefaultBounds())
+func TestPerTargetLimit(t *testing.T) {
+	d := newSimulation(t, 1, 4, DefaultBounds())
 	s := small(8)
 	s.PerTarget = 2
 	d.submit(2, time.Second, s)
@@ -95,7 +95,7 @@
 	d.check()
 }
 
-func TestFitting(t *testing.T) {
+func TestTasksThatFit(t *testing.T) {
 	is := is.New(t)
 	room := graph.Resources{CPU: 64000, MemoryMB: 262144, Accelerators: 8}
 	is.Equal(tasksThatFit(graph.Resources{CPU: 26000, MemoryMB: 75000, Accelerators: 1}, room), 2)
--- a/internal/work/dispatch/gang.go
+++ b/internal/work/dispatch/gang.go
@@ -44,7 +44,7 @@
 // empty, those first on which it runs fastest. A gang that wants one rack still
 // may run over several, and one whose data is on a rack on another, only slower.
 func (m *Machine) targetSets(s *step, now time.Time) []targetSet {
-	m.considered += len(m.targetsByID)
+	m.targetsConsidered += len(m.targetsByID)
 	var all []*target
 	var list []targetSet
 	for _, rack := range m.racksInOrder() {
@@ -133,7 +133,7 @@
 		m.reserve(s, s.reservation)
 		return nil
 	}
-	before := m.considered
+	before := m.targetsConsidered
 	sets := m.targetSets(s, now)
 	for first := 0; first < len(sets); {
 		last := first
@@ -150,7 +150,7 @@
 	}
 	m.pass.recordUnplaceable(s, slower)
 	if preempt {
-		s.nextPreemptionAt = now.Add(min(time.Duration(m.considered-before)*preemptionPausePerTarget, maxPreemptionPause))
+		s.nextPreemptionAt = now.Add(min(time.Duration(m.targetsConsidered-before)*preemptionPausePerTarget, maxPreemptionPause))
 	} else {
 		m.reserve(s, s.reservation)
 	}
@@ -230,11 +230,11 @@
 		total += min(tasksThatFit(charge, free[i]), max(slots[i], 0))
 		left += free[i].Accelerators
 	}
-	m.considered += len(targets)
+	m.targetsConsidered += len(targets)
 	if total < len(s.tasks) {
 		return nil, 0
 	}
-	m.considered += len(targets) * len(s.tasks)
+	m.targetsConsidered += len(targets) * len(s.tasks)
 	for _, x := range s.tasks {
 		best := -1
 		var bestFit fit
--- a/internal/work/dispatch/gang_end_test.go
+++ b/internal/work/dispatch/gang_end_test.go
@@ -27,46 +27,46 @@
 // A target loses power while a gang works on it and two others. The others list that
 // their members ended since another had; nothing is heard of the third. Users would
 // see the gang begin again only when the third's leases have lapsed, six seconds on.
-func TestGangNeedNotWaitForADeadTarget(t *testing.T) {
+func TestGangRestartsBeforeLeaseOfDeadTargetLapses(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 6, DefaultBounds())
+	d := newSimulation(t, 1, 6, DefaultBounds())
 	id := d.submit(0, 3*time.Second, urgent(3, 8))
 	d.run(time.Second)
 	dead := d.m.jobs[id].steps[0].tasks[1].runs[0].target.ID
-	d.lose = func(c Command) bool { return targetOf(c) == dead }
+	d.dropCommand = func(c Command) bool { return targetOf(c) == dead }
 	d.p.Kill(dead, d.now)
 	d.run(4 * time.Second)
-	is.True(d.took(id) > 0) // the lease alone is six seconds
+	is.True(d.duration(id) > 0) // the lease alone is six seconds
 	d.check()
 }
 
 // A target loses power on which two members of a gang work; the others list that they ended
 // since another had. Users would see the gang begin again after ten seconds, and after twice
 // as long if the leader changed meanwhile.
-func TestGangNeedNotWaitForTwoMembersOnADeadTarget(t *testing.T) {
+func TestGangWithTwoMembersOnDeadTargetRestartsEarly(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 6, DefaultBounds())
+	d := newSimulation(t, 1, 6, DefaultBounds())
 	id := d.submit(0, 3*time.Second, urgent(6, 4))
 	d.run(time.Second)
 	dead := d.m.jobs[id].steps[0].tasks[1].runs[0].target
 	is.Equal(len(dead.runs), 2)
-	d.lose = func(c Command) bool { return targetOf(c) == dead.ID }
+	d.dropCommand = func(c Command) bool { return targetOf(c) == dead.ID }
 	d.p.Kill(dead.ID, d.now)
 	d.run(4 * time.Second)
-	is.True(d.took(id) > 0) // the lease alone is six seconds
+	is.True(d.duration(id) > 0) // the lease alone is six seconds
 	d.check()
 }
 
 // The same target is cut off and has not lost power, and the gang's first end, a failure, is
 // listed elsewhere: nothing is known of the two members there, which may still work.
-func TestGangWaitsForMembersThatMayWork(t *testing.T) {
+func TestGangWaitsForMembersOnUnreachableTarget(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 6, DefaultBounds())
+	d := newSimulation(t, 1, 6, DefaultBounds())
 	id := d.submit(0, 3*time.Second, urgent(6, 4))
 	d.run(time.Second)
 	s := d.m.jobs[id].steps[0]
 	cut := s.tasks[1].runs[0].target
-	d.lose = func(c Command) bool { return targetOf(c) == cut.ID }
+	d.dropCommand = func(c Command) bool { return targetOf(c) == cut.ID }
 	s.gangEnd = gangEnd{number: 1, brokenMembers: map[int]bool{}}
 	for _, x := range s.tasks {
 		s.gangEnd.brokenMembers[x.index] = x.runs[0].target != cut
@@ -88,14 +88,14 @@
 // is not known, so neither is believed over before its leases have lapsed.
 func TestGangWaitsForTwoDeadTargets(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 6, DefaultBounds())
+	d := newSimulation(t, 1, 6, DefaultBounds())
 	id := d.submit(0, 3*time.Second, urgent(3, 8))
 	d.run(time.Second)
 	dead := map[string]bool{}
 	for _, x := range d.m.jobs[id].steps[0].tasks[1:] {
 		dead[x.runs[0].target.ID] = true
 	}
-	d.lose = func(c Command) bool { return dead[targetOf(c)] }
+	d.dropCommand = func(c Command) bool { return dead[targetOf(c)] }
 	for name := range dead {
 		d.p.Kill(name, d.now)
 	}
@@ -109,9 +109,9 @@
 // the others list that they ended since another had. A start now would be one too many:
 // the target lists the failure when it is back. Operators would see a job start again
 // after its last attempt failed.
-func TestGangWaitsForTheEndOfItsLastAttempt(t *testing.T) {
+func TestGangWaitsForOutcomeOfLastAttempt(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 6, DefaultBounds())
+	d := newSimulation(t, 1, 6, DefaultBounds())
 	id := d.submit(0, 8*time.Second, urgent(3, 8))
 	spec := d.m.jobs[id].spec
 	spec.MaxAttempts = 2
@@ -123,13 +123,13 @@
 	s := d.m.jobs[id].steps[0]
 	is.Equal(s.gangRun, 2)
 	cut := s.tasks[1].runs[0].target
-	d.lose = func(c Command) bool { return targetOf(c) == cut.ID }
+	d.dropCommand = func(c Command) bool { return targetOf(c) == cut.ID }
 	d.run(4500 * time.Millisecond) // the second fails, and the target is known to be silent
 	is.Equal(cut.reach, unreachable)
 	is.Equal(len(s.gangEnd.brokenMembers), 2)
 	is.Equal(s.gangRun, 2)
 	is.Equal(len(s.tasks[1].runs), 1) // still noted, for a successor
-	d.lose = nil
+	d.dropCommand = nil
 	d.run(10 * time.Second)
 	is.Equal(d.state(id), progress.Failed)
 	is.Equal(s.gangRun, 2)
@@ -138,7 +138,7 @@
 
 // The same with an attempt left. The next run fails, too, while nothing is known of the
 // one before it: no other may follow until it is.
-func TestUnknownEndCountsAsAnAttempt(t *testing.T) {
+func TestUnknownOutcomeCountsAsFailedAttempt(t *testing.T) {
 	is := is.New(t)
 	var a attempts
 	now := time.Unix(1000, 0)
--- a/internal/work/dispatch/gang_test.go
+++ b/internal/work/dispatch/gang_test.go
@@ -11,18 +11,18 @@
 
 // A gang is not tried in a pass in which one that asks for no more found no room. Tried
 // all the same, it finds none either: whatever runs, and whatever else is placed.
-func TestNoRoomIsForAllThatAskForMore(t *testing.T) {
+func TestUnplaceableGangRulesOutLargerGangs(t *testing.T) {
 	seeded.Check(t, func(rt *rapid.T) {
-		d := newDrive(t, rapid.IntRange(1, 3).Draw(rt, "racks"), 8, DefaultBounds())
+		d := newSimulation(t, rapid.IntRange(1, 3).Draw(rt, "racks"), 8, DefaultBounds())
 		for n := range rapid.IntRange(0, 6).Draw(rt, "wide steps") {
-			d.m.Accept(d.jobOf(n+1, 2, small(rapid.IntRange(1, 40).Draw(rt, "tasks"))), d.now)
-			ordered(d)
+			d.m.Accept(d.makeJob(n+1, 2, small(rapid.IntRange(1, 40).Draw(rt, "tasks"))), d.now)
+			savedStarts(d)
 		}
 		d.m.newPass(d.now)
 		for n := range rapid.IntRange(2, 12).Draw(rt, "gangs") {
 			g := large(rapid.IntRange(1, 20).Draw(rt, "members"), rapid.SampledFrom([]int{1, 2, 4, 8}).Draw(rt, "accelerators"))
 			g.SameRack = rapid.Bool().Draw(rt, "same rack")
-			d.m.Accept(d.jobOf(100+n, 1, g), d.now)
+			d.m.Accept(d.makeJob(100+n, 1, g), d.now)
 			s := d.m.openSteps[len(d.m.openSteps)-1]
 			slower := d.m.wallMS(d.now) > s.latestStartForValue()
 			if !d.m.pass.isUnplaceable(s, slower) {
@@ -40,26 +40,26 @@
 
 // Urgent gangs wait, and nothing may be stopped for them yet. The leader looks for room
 // to clear a few times a second, not each time that anything happens.
-func TestRoomToClearIsLookedForNowAndThen(t *testing.T) {
-	d := newDrive(t, 100, 8, DefaultBounds())
+func TestPreemptionSearchIsRateLimited(t *testing.T) {
+	d := newSimulation(t, 100, 8, DefaultBounds())
 	for n := range 100 {
-		d.m.Accept(d.jobOf(100+n, 2, small(64)), d.now)
-		d.begin()
+		d.m.Accept(d.makeJob(100+n, 2, small(64)), d.now)
+		d.startAll()
 	}
 	d.now = d.now.Add(30 * time.Second)
-	d.m.Accept(d.jobOf(2, 0, urgent(8, 8)), d.now)
+	d.m.Accept(d.makeJob(2, 0, urgent(8, 8)), d.now)
 	s := d.m.openSteps[len(d.m.openSteps)-1]
-	looks, last := 0, s.nextPreemptionAt
+	searches, last := 0, s.nextPreemptionAt
 	for range 100 {
 		d.m.placementDue, d.m.nextPassAt = true, time.Time{}
 		d.m.Decide(d.now)
 		if s.nextPreemptionAt != last {
-			looks, last = looks+1, s.nextPreemptionAt
+			searches, last = searches+1, s.nextPreemptionAt
 		}
 		d.now = d.now.Add(10 * time.Millisecond)
 	}
-	if looks < 4 || looks > 6 {
-		t.Errorf("%d looks in a second", looks)
+	if searches < 4 || searches > 6 {
+		t.Errorf("%d looks in a second", searches)
 	}
 	if len(s.reservation) == 0 || !d.m.reservedForOther(s.reservation[0], &step{}) {
 		t.Error("targets are not held back between two looks")
--- a/internal/work/dispatch/health_test.go
+++ b/internal/work/dispatch/health_test.go
@@ -10,8 +10,8 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// fastFailers has every sixth target fail all that it starts from now on, or end it.
-func (d *drive) fastFailers(on bool) {
+// setFailingTargets has every sixth target fail all that it starts from now on, or end it.
+func (d *simulation) setFailingTargets(on bool) {
 	for i, t := range d.m.targetsByID {
 		if i%6 == 0 {
 			d.p.FailAll(t.ID, on)
@@ -19,8 +19,8 @@
 	}
 }
 
-// completed returns how many of the jobs were completed.
-func (d *drive) completed(ids []graph.JobID) int {
+// countCompleted returns how many of the jobs were countCompleted.
+func (d *simulation) countCompleted(ids []graph.JobID) int {
 	n := 0
 	for _, id := range ids {
 		if d.state(id) == progress.Completed {
@@ -34,47 +34,47 @@
 // free again at once and attract what waits. Wide steps come whose tasks have two
 // attempts: a task loses one there and must not spend the other in the same way. Users
 // would see jobs end as failed a tenth of a second after they were handed in.
-func TestFastFailersEndNoWideJob(t *testing.T) {
+func TestFailingTargetsDoNotFailWideJobs(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 3, 6, DefaultBounds())
+	d := newSimulation(t, 3, 6, DefaultBounds())
 	d.submit(2, 6*time.Second, small(60)) // the other targets are half full
 	d.run(2 * time.Second)
-	d.fastFailers(true)
+	d.setFailingTargets(true)
 	var ids []graph.JobID
 	for range 8 {
 		ids = append(ids, d.submit(2, 3*time.Second, small(20)))
 		d.m.jobs[ids[len(ids)-1]].spec.MaxAttempts = 2
 		d.run(800 * time.Millisecond)
 	}
-	d.fastFailers(false)
+	d.setFailingTargets(false)
 	d.run(40 * time.Second)
-	is.Equal(d.completed(ids), len(ids))
+	is.Equal(d.countCompleted(ids), len(ids))
 	d.check()
 }
 
 // The same targets are met by urgent gangs, of which one member there ends the whole
 // run. The next attempt must not go back to the target that failed the last.
-func TestFastFailersEndNoGang(t *testing.T) {
+func TestFailingTargetsDoNotFailGangs(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 3, 6, DefaultBounds())
+	d := newSimulation(t, 3, 6, DefaultBounds())
 	d.run(time.Second)
-	d.fastFailers(true)
+	d.setFailingTargets(true)
 	var ids []graph.JobID
 	for range 20 {
 		ids = append(ids, d.submit(0, 2500*time.Millisecond, urgent(4, 4)))
 		d.run(300 * time.Millisecond)
 	}
-	d.fastFailers(false)
+	d.setFailingTargets(false)
 	d.run(30 * time.Second)
-	is.Equal(d.completed(ids), len(ids))
+	is.Equal(d.countCompleted(ids), len(ids))
 	d.check()
 }
 
 // A target fails all that it starts, but goes on with what it had started before. What
 // ends well there meanwhile must not make it look sound.
-func TestOldRunsDoNotVouchForATarget(t *testing.T) {
+func TestOldRunsAreNoEvidenceOfHealth(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 2, DefaultBounds())
+	d := newSimulation(t, 1, 2, DefaultBounds())
 	for i := range 4 {
 		d.submit(2, time.Duration(2000+200*i)*time.Millisecond, small(1))
 	}
@@ -95,9 +95,9 @@
 
 // A target that was condemned is well again. It gets one run at a time until one has
 // gone well, and then as many as it has room for.
-func TestTargetIsTriedWithOneRun(t *testing.T) {
+func TestProbationAllowsOneRun(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 1, DefaultBounds())
+	d := newSimulation(t, 1, 1, DefaultBounds())
 	only := d.m.targetsByID[0]
 	d.p.FailAll(only.ID, true)
 	d.submit(2, 2*time.Second, small(1))
@@ -116,30 +116,30 @@
 
 // A job that can never be done fails at once wherever it runs. It is itself at fault
 // then, and does not have one target condemned after the other.
-func TestHopelessJobDoesNotCondemnTheFleet(t *testing.T) {
+func TestFailingJobDoesNotQuarantineAllTargets(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 2, 6, DefaultBounds())
+	d := newSimulation(t, 2, 6, DefaultBounds())
 	id := d.submit(2, 10*time.Millisecond, small(40))
 	d.m.jobs[id].spec.MaxAttempts = 9
 	for _, x := range d.m.targetsByID {
 		d.p.FailAll(x.ID, true)
 	}
 	d.run(2 * time.Second)
-	condemned := 0
+	quarantined := 0
 	for _, x := range d.m.targetsByID {
 		if x.health.Condemned(d.now) {
-			condemned++
+			quarantined++
 		}
 	}
-	is.True(condemned > 0)
-	is.True(condemned <= maxFailedTargets)
+	is.True(quarantined > 0)
+	is.True(quarantined <= maxFailedTargets)
 }
 
 // The only other target is full for long, and the one that failed a task is no longer
 // condemned. The task has one attempt left: it waits, and does not go back.
-func TestTaskDoesNotGoBack(t *testing.T) {
+func TestTaskDoesNotReturnToFailingTarget(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 2, DefaultBounds())
+	d := newSimulation(t, 1, 2, DefaultBounds())
 	bad := d.m.targetsByID[0]
 	d.submit(2, 8*time.Second, small(8))
 	d.run(500 * time.Millisecond)
@@ -162,7 +162,7 @@
 // A task has failed once and has one attempt left. It waits for a while for a target on
 // which something goes well that began since, and goes then to one on which that was so
 // a moment ago, though another fits it better of which nothing is known.
-func TestLastAttemptGoesToAProvenTarget(t *testing.T) {
+func TestLastAttemptPrefersProvenTarget(t *testing.T) {
 	is := is.New(t)
 	d, x := newLastAttempt(t)
 	proven := d.m.targetsByID[2]
@@ -178,7 +178,7 @@
 
 // The same, and meanwhile work that began after the failure goes well on a target: the
 // task need not wait any longer.
-func TestLastAttemptFollowsFreshProof(t *testing.T) {
+func TestLastAttemptUsesNewlyProvenTarget(t *testing.T) {
 	is := is.New(t)
 	d, x := newLastAttempt(t)
 	d.run(500 * time.Millisecond)
@@ -193,9 +193,9 @@
 
 // newLastAttempt returns a drive with three targets, of which the first has failed
 // early the first of two attempts of a task.
-func newLastAttempt(t *testing.T) (*drive, *task) {
+func newLastAttempt(t *testing.T) (*simulation, *task) {
 	is := is.New(t)
-	d := newDrive(t, 1, 3, DefaultBounds())
+	d := newSimulation(t, 1, 3, DefaultBounds())
 	d.submit(2, 9*time.Second, small(5)) // on the target that fits best from then on
 	d.run(5 * time.Second)
 	old := d.m.targetsByID[0]
--- a/internal/work/dispatch/job.go
+++ b/internal/work/dispatch/job.go
@@ -51,7 +51,7 @@
 	gangAttempts     attempts        // of a gang
 	gangEnd          gangEnd         // of a gang
 	failedTargets    map[string]bool // targets on which a task failed
-	peers            peers           // its tasks together, as last looked at
+	speeds           stepSpeeds      // its tasks together, as last looked at
 	pausedUntil      time.Time
 	nextPreemptionAt time.Time     // no room is cleared for it before
 	reservation      []*target     // that are held back for it until then
--- a/internal/work/dispatch/listing_test.go
+++ b/internal/work/dispatch/listing_test.go
@@ -9,7 +9,7 @@
 
 const shortListAge = 1800 * time.Millisecond
 
-func aged() Bounds {
+func boundsWithListAge() Bounds {
 	b := DefaultBounds()
 	b.MaxListAge = shortListAge
 	return b
@@ -18,19 +18,19 @@
 // The store answers a leader slowly, or the leader is overloaded: it has not read
 // the list of targets for seconds. A target said that it leaves meanwhile. Nothing
 // is started by such a list, and all goes on with the next one.
-func TestNothingIsPlacedByAnOldList(t *testing.T) {
+func TestNothingIsPlacedOnStaleTargetList(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 2, aged())
+	d := newSimulation(t, 1, 2, boundsWithListAge())
 	d.run(3 * time.Second)
 	id := d.submit(2, 500*time.Millisecond, small(4))
 	d.run(time.Second)
 	is.Equal(d.p.Starts(), 0)
 	d.p.Drain("r0-0#1")
-	d.list()
+	d.listTargets()
 	d.run(1500 * time.Millisecond)
 	is.Equal(d.p.StartsOn("r0-0#1"), 0)
 	is.Equal(d.p.StartsOn("r0-1#1"), 4)
-	is.True(d.took(id) > 0)
+	is.True(d.duration(id) > 0)
 	d.check()
 }
 
@@ -39,17 +39,17 @@
 // goes to another target.
 func TestTargetLeavesWhileAStartIsSaved(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 2, aged())
-	d.list()
-	d.slowSaves = time.Second
+	d := newSimulation(t, 1, 2, boundsWithListAge())
+	d.listTargets()
+	d.slowSaveTime = time.Second
 	id := d.submit(2, 500*time.Millisecond, small(4))
 	d.run(500 * time.Millisecond)
 	d.p.Drain("r0-0#1")
-	d.list()
-	d.runListing(5)
+	d.listTargets()
+	d.runWithListing(5)
 	is.Equal(d.p.StartsOn("r0-0#1"), 0)
 	is.Equal(d.p.StartsOn("r0-1#1"), 4)
-	is.True(d.took(id) > 0)
+	is.True(d.duration(id) > 0)
 	d.check()
 }
 
@@ -58,36 +58,36 @@
 // that come after the one in question, and the gang is started elsewhere as a whole.
 func TestTargetLeavesWhileAGangIsSaved(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 4, aged())
-	d.list()
-	d.slowSaves = time.Second
+	d := newSimulation(t, 1, 4, boundsWithListAge())
+	d.listTargets()
+	d.slowSaveTime = time.Second
 	gang := small(3)
 	gang.Gang, gang.Needs.Accelerators = true, 8
 	id := d.submit(2, 500*time.Millisecond, gang)
 	d.run(500 * time.Millisecond)
 	d.p.Drain("r0-0#1")
-	d.list()
-	d.runListing(8)
+	d.listTargets()
+	d.runWithListing(8)
 	is.Equal(d.p.StartsOn("r0-0#1"), 0)
 	is.Equal(d.p.Starts(), 3)
-	is.True(d.took(id) > 0)
+	is.True(d.duration(id) > 0)
 	d.check()
 }
 
 // The leader loses power just after it sent a start. If the start was not recorded
 // by then, a successor that does not reach the target would not know what may exist
 // there, and start the task a second time.
-func TestStartIsSentWhenItIsSaved(t *testing.T) {
+func TestStartIsSentAfterItIsSaved(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 2, DefaultBounds())
-	d.slowSaves = time.Second
+	d := newSimulation(t, 1, 2, DefaultBounds())
+	d.slowSaveTime = time.Second
 	id := d.submit(0, 300*time.Millisecond, small(3))
 	d.run(900 * time.Millisecond)
 	is.Equal(d.p.Starts(), 0)
 	d.run(400 * time.Millisecond)
 	is.Equal(d.p.Starts(), 3)
 	d.run(3 * time.Second)
-	is.True(d.took(id) > 0)
+	is.True(d.duration(id) > 0)
 	d.check()
 }
 
@@ -95,8 +95,8 @@
 // saved then says nothing of a start that was decided since.
 func TestStartWaitsForItsOwnSave(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 1, DefaultBounds())
-	d.slowSaves = time.Second
+	d := newSimulation(t, 1, 1, DefaultBounds())
+	d.slowSaveTime = time.Second
 	whole := small(2)
 	whole.Needs.Accelerators = 8
 	d.submit(2, 10*time.Second, whole)
@@ -105,7 +105,7 @@
 	more := list[0]
 	more.ID, more.Address = "r0-1#1", "r0-1"
 	d.p.Add(more, 1, d.now)
-	d.list()
+	d.listTargets()
 	d.run(900 * time.Millisecond)
 	is.Equal(d.p.Starts(), 1)
 	is.Equal(d.p.StartsOn("r0-1#1"), 0)
--- a/internal/work/dispatch/load_test.go
+++ b/internal/work/dispatch/load_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// stream hands in jobs of three sorts at random, as the users' request sheets
+// workload hands in jobs of three sorts at random, as the users' request sheets
 // describe them: large gangs, urgent gangs and wide steps of small tasks.
-type stream struct {
-	*drive
-	rnd  *rand.Rand
-	rate float64 // jobs a second of all sorts
-	wide float64 // how much wider than today's steps are
+type workload struct {
+	*simulation
+	rnd         *rand.Rand
+	rate        float64 // jobs a second of all sorts
+	widthFactor float64 // how much wider than today's steps are
 }
 
-// accelerators are what tasks of gangs ask for.
-var accelerators = []int{1, 2, 4, 8, 8}
+// gangAccelerators are what tasks of gangs ask for.
+var gangAccelerators = []int{1, 2, 4, 8, 8}
 
-// next hands one job in.
-func (s *stream) next() {
-	width := func(mean float64) int { return max(1, int(s.rnd.ExpFloat64()*mean*s.wide)) }
+// submitNext hands one job in.
+func (s *workload) submitNext() {
+	width := func(mean float64) int { return max(1, int(s.rnd.ExpFloat64()*mean*s.widthFactor)) }
 	around := func(d time.Duration) time.Duration {
 		return time.Duration(float64(d) * (0.7 + 0.6*s.rnd.Float64()))
 	}
-	n := accelerators[s.rnd.IntN(len(accelerators))]
+	n := gangAccelerators[s.rnd.IntN(len(gangAccelerators))]
 	switch x := s.rnd.Float64(); {
 	case x < 0.17:
 		g := large(min(width(4), 16), n)
@@ -42,25 +42,25 @@
 	}
 }
 
-// pass lets time pass while jobs come in.
-func (s *stream) pass(span time.Duration) {
+// runWithLoad lets time runWithLoad while jobs come in.
+func (s *workload) runWithLoad(span time.Duration) {
 	for until := s.now.Add(span); s.now.Before(until); {
-		s.run(max(driveStep, time.Duration(s.rnd.ExpFloat64()/s.rate*float64(time.Second))))
-		s.next()
+		s.run(max(simulationStep, time.Duration(s.rnd.ExpFloat64()/s.rate*float64(time.Second))))
+		s.submitNext()
 	}
 }
 
-// served returns the share of the jobs handed in before a time that have ended
+// shareInTime returns the share of the jobs handed in before a time that have ended
 // within so many times their estimate.
-func (s *stream) served(priority int, within float64, before time.Time) float64 {
+func (s *workload) shareInTime(priority int, within float64, before time.Time) float64 {
 	n, good := 0, 0
-	for id, asked := range s.asked {
+	for id, asked := range s.submittedAt {
 		j := s.m.jobs[id]
 		if j == nil || j.spec.Priority != priority || asked.After(before) {
 			continue
 		}
 		n++
-		if at, ok := s.ended[id]; ok && at.Sub(asked) <= time.Duration(within*float64(j.spec.Steps[0].Estimate)) {
+		if at, ok := s.endedAt[id]; ok && at.Sub(asked) <= time.Duration(within*float64(j.spec.Steps[0].Estimate)) {
 			good++
 		}
 	}
@@ -81,15 +81,15 @@
 		{"48", 6, 8, 4, 1}, {"48full", 6, 8, 9, 1}, {"350", 18, 20, 12, 2}, {"350full", 18, 20, 28, 2}, {"920", 46, 20, 30, 2}, {"1100", 138, 8, 33, 4},
 	} {
 		b.Run(x.name, func(b *testing.B) {
-			s := &stream{drive: newDrive(b, x.racks, x.perRack, DefaultBounds()), rnd: rand.New(rand.NewPCG(1, 2)), rate: x.rate, wide: x.wide}
-			s.pass(15 * time.Second)
+			s := &workload{simulation: newSimulation(b, x.racks, x.perRack, DefaultBounds()), rnd: rand.New(rand.NewPCG(1, 2)), rate: x.rate, widthFactor: x.wide}
+			s.runWithLoad(15 * time.Second)
 			b.ResetTimer()
 			for b.Loop() {
-				s.pass(time.Second)
+				s.runWithLoad(time.Second)
 			}
 			b.ReportMetric(float64(s.m.Counts().Runs), "runs")
 			b.ReportMetric(float64(s.m.Counts().OpenSteps), "waiting")
-			b.ReportMetric(s.served(0, 3, s.now.Add(-10*time.Second)), "urgentInTime")
+			b.ReportMetric(s.shareInTime(0, 3, s.now.Add(-10*time.Second)), "urgentInTime")
 		})
 	}
 }
@@ -99,14 +99,14 @@
 func BenchmarkCrowdedPass(b *testing.B) {
 	for _, racks := range []int{6, 44, 138} {
 		b.Run(strconv.Itoa(racks*8), func(b *testing.B) {
-			d := newDrive(b, racks, 8, DefaultBounds())
+			d := newSimulation(b, racks, 8, DefaultBounds())
 			for n := range racks {
-				d.m.Accept(d.jobOf(n+1, 2, small(64)), d.now)
-				d.begin()
+				d.m.Accept(d.makeJob(n+1, 2, small(64)), d.now)
+				d.startAll()
 			}
 			d.now = d.now.Add(30 * time.Second)
 			for n := range 300 {
-				d.m.Accept(d.jobOf(1000+n, 0, urgent(1+n%16, []int{1, 2, 4, 8, 8}[n%5])), d.now)
+				d.m.Accept(d.makeJob(1000+n, 0, urgent(1+n%16, []int{1, 2, 4, 8, 8}[n%5])), d.now)
 			}
 			d.m.Decide(d.now)
 			for b.Loop() {
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -37,7 +37,7 @@
 	orderTime          time.Duration              // that an order usually takes
 	waitingRuns        []*run                     // that wait for room, in the order in which they were placed; some may have ceased to
 	recheckWaiting     bool                       // room came free, or more waits for it
-	considered         int                        // targets considered in this pass, over all steps
+	targetsConsidered  int                        // targets considered in this pass, over all steps
 	reserved           map[*target]map[*step]bool // targets kept for urgent steps, in this pass
 	advicePending      bool                       // a call for advice is outstanding
 	nextForgetAt       time.Time                  // no jobs are forgotten before
--- a/internal/work/dispatch/once_test.go
+++ b/internal/work/dispatch/once_test.go
@@ -17,15 +17,15 @@
 // it failed.
 func TestOnceIsNotStartedAgain(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 2, DefaultBounds())
-	j := one("00000000000000da", 1)
+	d := newSimulation(t, 1, 2, DefaultBounds())
+	j := testJob("00000000000000da", 1)
 	j.Once, j.AcceptedAt = true, d.now.UnixMilli()
 	d.p.Submit(j, pool.Behaviour{Work: func(graph.TaskID) time.Duration { return 5 * time.Second }})
-	d.asked[j.ID] = d.now
+	d.submittedAt[j.ID] = d.now
 	d.m.Accept(j, d.now)
 	d.run(time.Second)
 	is.Equal(d.state(j.ID), progress.Running)
-	d.p.Kill(d.onlyTarget(string(j.ID)), d.now)
+	d.p.Kill(d.targetOfJob(string(j.ID)), d.now)
 	d.run(15 * time.Second)
 	is.Equal(d.state(j.ID), progress.Failed)
 	is.Equal(d.p.Starts(), 1)
@@ -33,11 +33,11 @@
 }
 
 // The same order is done before anything goes wrong.
-func TestOnceIsDone(t *testing.T) {
+func TestOnceCompletes(t *testing.T) {
 	is := is.New(t)
-	s := newStanding()
+	s := newFixture()
 	id := graph.JobID("00000000000000db")
-	j := one(id, 1)
+	j := testJob(id, 1)
 	j.Once = true
 	s.Accept(j, s.now)
 	s.EnablePlacement(s.now, s.now)
@@ -53,10 +53,10 @@
 }
 
 // A start that was certainly not sent is no run: the order is started elsewhere.
-func TestOnceAfterARefusal(t *testing.T) {
+func TestOnceIsRestartedAfterRefusal(t *testing.T) {
 	is := is.New(t)
-	s := newStanding()
-	j := one("00000000000000dc", 1)
+	s := newFixture()
+	j := testJob("00000000000000dc", 1)
 	j.Once = true
 	s.Accept(j, s.now)
 	s.EnablePlacement(s.now, s.now)
@@ -70,15 +70,15 @@
 
 // A job that is of no use after a while is given up if nothing of it has started
 // by then, and its caller is told that it did not run.
-func TestGivenUpBeforeTheStart(t *testing.T) {
+func TestUnstartedJobExpires(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 1, DefaultBounds())
+	d := newSimulation(t, 1, 1, DefaultBounds())
 	d.submit(1, 20*time.Second, graph.Step{Count: 1, Needs: graph.Resources{Accelerators: 8}, Estimate: 20 * time.Second})
 	d.run(time.Second)
-	j := one("00000000000000dd", 1)
+	j := testJob("00000000000000dd", 1)
 	j.StartBy = d.now.Add(2 * time.Second).UnixMilli()
 	d.p.Submit(j, pool.Behaviour{Work: func(graph.TaskID) time.Duration { return time.Second }})
-	d.asked[j.ID] = d.now
+	d.submittedAt[j.ID] = d.now
 	d.m.Accept(j, d.now)
 	d.run(time.Second)
 	is.Equal(d.state(j.ID), progress.Queued)
--- a/internal/work/dispatch/orders.go
+++ b/internal/work/dispatch/orders.go
@@ -19,7 +19,7 @@
 	x.runs = append(x.runs, r)
 	x.step.job.liveRuns[r] = true
 	t.runs[r.Run] = r
-	t.reserved = t.reserved.Plus(r.charge)
+	t.waitingCharge = t.waitingCharge.Plus(r.charge)
 	delete(m.pass.preemptibleCapacity, t)
 	m.waitingRuns = append(m.waitingRuns, r)
 	m.recheckWaiting = true
@@ -34,7 +34,7 @@
 	for _, r := range runs {
 		t := r.target
 		r.phase = recorded
-		t.reserved = t.reserved.Minus(r.charge)
+		t.waitingCharge = t.waitingCharge.Minus(r.charge)
 		t.used = t.used.Plus(r.charge)
 		r.recordRev = m.markDirty(r.task.step.job)
 		m.backlog.add(r)
--- a/internal/work/dispatch/orders_test.go
+++ b/internal/work/dispatch/orders_test.go
@@ -12,13 +12,13 @@
 
 // Stops are lost on their way for a while. A client cancelled its job and was told
 // so: the tasks must be gone soon after stops get through again, not when they end.
-func TestStopIsSentUntilAnswered(t *testing.T) {
+func TestStopIsRepeatedUntilAnswered(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 1, DefaultBounds())
+	d := newSimulation(t, 1, 1, DefaultBounds())
 	id := d.submit(2, time.Minute, small(3))
 	d.run(time.Second)
 	is.Equal(d.p.BusyOf(id), 3)
-	d.lose = func(c Command) bool {
+	d.dropCommand = func(c Command) bool {
 		_, stop := c.(Stop)
 		return stop
 	}
@@ -26,7 +26,7 @@
 	d.decide()
 	d.run(2 * time.Second)
 	is.Equal(d.p.BusyOf(id), 3)
-	d.lose = nil
+	d.dropCommand = nil
 	d.run(1500 * time.Millisecond)
 	is.Equal(d.p.BusyOf(id), 0)
 }
@@ -34,40 +34,40 @@
 // A target carries out starts and its answers are lost, and so are its reports.
 // What was started there may run: it must not be started elsewhere before all
 // leases that the target may hold have lapsed.
-func TestStartWithoutAnswerMayRun(t *testing.T) {
+func TestUnansweredStartMayRun(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 2, DefaultBounds())
-	there := func(target string) bool { return target == "r0-0#1" }
-	d.mute = func(c Command) bool {
+	d := newSimulation(t, 1, 2, DefaultBounds())
+	isFirst := func(target string) bool { return target == "r0-0#1" }
+	d.dropAnswer = func(c Command) bool {
 		s, start := c.(Start)
-		return start && there(s.Target.ID)
+		return start && isFirst(s.Target.ID)
 	}
-	d.lose = func(c Command) bool {
+	d.dropCommand = func(c Command) bool {
 		switch c := c.(type) {
 		case Poll:
-			return there(c.Target.ID)
+			return isFirst(c.Target.ID)
 		case Stop:
-			return there(c.Target.ID)
+			return isFirst(c.Target.ID)
 		}
 		return false
 	}
-	gang := graph.Step{Count: 1, Needs: graph.Resources{CPU: 5600, MemoryMB: 29000, Accelerators: 8}, Estimate: 3 * time.Second}
-	first := d.submit(2, 3*time.Second, gang)
-	second := d.submit(2, 3*time.Second, gang)
+	whole := graph.Step{Count: 1, Needs: graph.Resources{CPU: 5600, MemoryMB: 29000, Accelerators: 8}, Estimate: 3 * time.Second}
+	first := d.submit(2, 3*time.Second, whole)
+	second := d.submit(2, 3*time.Second, whole)
 	d.run(20 * time.Second)
-	is.True(d.took(first) > 0)
-	is.True(d.took(second) > 0)
+	is.True(d.duration(first) > 0)
+	is.True(d.duration(second) > 0)
 	d.check()
 }
 
 // A target takes its time over a start: the try without an answer is on its way
 // when the second try is refused for want of room. The first may still arrive and
 // be carried out, so the refusal ends nothing: only a stop does.
-func TestRefusalAfterATryWithoutAnswer(t *testing.T) {
+func TestRefusalAfterUnansweredStart(t *testing.T) {
 	is := is.New(t)
-	s := newStanding()
+	s := newFixture()
 	id := graph.JobID("00000000000000ae")
-	s.Accept(one(id, 1), s.now)
+	s.Accept(testJob(id, 1), s.now)
 	s.EnablePlacement(s.now, s.now)
 	s.report(order.Report{})
 	s.now = s.now.Add(reportWait)
--- a/internal/work/dispatch/pacing_test.go
+++ b/internal/work/dispatch/pacing_test.go
@@ -11,7 +11,7 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-func TestPacedTo(t *testing.T) {
+func TestNextShare(t *testing.T) {
 	is := is.New(t)
 	is.Equal(nextShare(100, 1.2), 0)  // over the limit: not at all
 	is.Equal(nextShare(100, 0.9), 50) // near it: half
@@ -26,9 +26,9 @@
 // low again it is let on step by step.
 func TestFillingTaskIsPaced(t *testing.T) {
 	is := is.New(t)
-	s := newStanding()
+	s := newFixture()
 	serves, fills := graph.JobID("00000000000000ca"), graph.JobID("00000000000000cb")
-	a, b := one(serves, 1), one(fills, 1)
+	a, b := testJob(serves, 1), testJob(fills, 1)
 	a.Steps[0].Lasting, a.Steps[0].TailLimit = true, 100*time.Millisecond
 	b.Steps[0].Filling = true
 	s.Restore(a, nil, 0, false, s.now)
@@ -37,7 +37,7 @@
 	tail := func(ms int) []Pace {
 		s.now = s.now.Add(time.Second)
 		s.report(order.Report{Running: []order.Running{
-			{Run: run1(serves, 0, 1), Percent: 100, Gauge: ms}, {Run: run1(fills, 0, 1), Percent: 3, Gauge: 9000},
+			{Run: testRun(serves, 0, 1), Percent: 100, Gauge: ms}, {Run: testRun(fills, 0, 1), Percent: 3, Gauge: 9000},
 		}})
 		return commands[Pace](s)
 	}
@@ -52,17 +52,17 @@
 }
 
 // The order to pace is not answered. It is given again with the next report.
-func TestPaceNotAnswered(t *testing.T) {
+func TestUnansweredPaceIsRepeated(t *testing.T) {
 	is := is.New(t)
-	s := newStanding()
+	s := newFixture()
 	serves, fills := graph.JobID("00000000000000cc"), graph.JobID("00000000000000cd")
-	a, b := one(serves, 1), one(fills, 1)
+	a, b := testJob(serves, 1), testJob(fills, 1)
 	a.Steps[0].Lasting, a.Steps[0].TailLimit = true, 100*time.Millisecond
 	b.Steps[0].Filling = true
 	s.Restore(a, nil, 0, false, s.now)
 	s.Restore(b, nil, 0, false, s.now)
 	s.EnablePlacement(s.now, s.now)
-	rep := order.Report{Running: []order.Running{{Run: run1(serves, 0, 1), Percent: 100, Gauge: 200}, {Run: run1(fills, 0, 1)}}}
+	rep := order.Report{Running: []order.Running{{Run: testRun(serves, 0, 1), Percent: 100, Gauge: 200}, {Run: testRun(fills, 0, 1)}}}
 	s.report(rep)
 	first := commands[Pace](s)
 	is.Equal(len(first), 1)
@@ -75,9 +75,9 @@
 
 // Lasting tasks run on a target that leaves. They are moved one after the other,
 // as many at a time as their step may miss, and none of the others is stopped.
-func TestLastingTasksMoveInTurn(t *testing.T) {
+func TestLastingTasksMoveWithinMaxUnavailable(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 3, DefaultBounds())
+	d := newSimulation(t, 1, 3, DefaultBounds())
 	s := small(6)
 	s.Lasting, s.MaxUnavailable, s.PerTarget = true, 1, 3
 	id := d.submit(2, time.Hour, s)
@@ -104,11 +104,11 @@
 
 // Jobs that ended long ago are taken out of the store, and are known until that
 // has happened.
-func TestForget(t *testing.T) {
+func TestForgetRemovesOldJobs(t *testing.T) {
 	is := is.New(t)
-	s := newStanding()
+	s := newFixture()
 	id := graph.JobID("00000000000000ce")
-	s.Restore(one(id, 1), &progress.Job{State: progress.Completed, Ended: s.now.UnixMilli()}, 5, false, s.now)
+	s.Restore(testJob(id, 1), &progress.Job{State: progress.Completed, Ended: s.now.UnixMilli()}, 5, false, s.now)
 	s.EnablePlacement(s.now, s.now)
 	s.Tick(s.now)
 	is.Equal(len(commands[Forget](s)), 0)
--- a/internal/work/dispatch/preemption.go
+++ b/internal/work/dispatch/preemption.go
@@ -17,7 +17,7 @@
 	c := m.newPreemptionPlan(s, now)
 	var best *target
 	var bestOption preemptionOption
-	m.considered += len(m.targetsByID)
+	m.targetsConsidered += len(m.targetsByID)
 	for _, t := range m.targetsByID {
 		if !s.eligible(t, now) || m.reservedForOther(t, s) || x.attempts().avoids(t) {
 			continue
@@ -145,7 +145,7 @@
 			break
 		}
 	}
-	c.m.considered += len(set)
+	c.m.targetsConsidered += len(set)
 	return n >= len(c.step.tasks)
 }
 
@@ -193,7 +193,7 @@
 // optionOn returns the runs to stop on a target so that one more task fits: the
 // cheapest first, without those that turn out not to be needed.
 func (c *preemptionPlan) optionOn(t *target) preemptionOption {
-	c.m.considered++
+	c.m.targetsConsidered++
 	if c.step.perTargetLeft(t)-c.planned[t] <= 0 {
 		return preemptionOption{}
 	}
@@ -244,7 +244,7 @@
 	}
 	slices.SortStableFunc(list, func(a, b victim) int { return cmp.Compare(a.loss, b.loss) })
 	m.pass.victims[t] = list
-	m.considered += len(list)
+	m.targetsConsidered += len(list)
 	return list
 }
 
--- a/internal/work/dispatch/preemption_test.go
+++ b/internal/work/dispatch/preemption_test.go
@@ -12,39 +12,39 @@
 
 // An urgent gang arrives while small tasks fill its rack. It is in time only if
 // their room is cleared; they are run again and all ends well.
-func TestRoomIsCleared(t *testing.T) {
+func TestUrgentGangPreempts(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 4, DefaultBounds())
+	d := newSimulation(t, 1, 4, DefaultBounds())
 	d.submit(2, 6*time.Second, small(32))
 	d.run(time.Second)
 	id := d.submit(0, 2500*time.Millisecond, urgent(2, 8))
 	d.run(4 * time.Second)
-	is.True(d.took(id) > 0)
-	is.True(d.took(id) < 4*time.Second) // its objective
+	is.True(d.duration(id) > 0)
+	is.True(d.duration(id) < 4*time.Second) // its objective
 	d.run(20 * time.Second)
 	d.check()
 }
 
 // An urgent job of one small task arrives while a large gang fills the fleet and
 // would lose far more work than the job is worth. It waits; the gang goes on.
-func TestLargeGangIsNotStoppedForLittle(t *testing.T) {
+func TestCostlyPreemptionIsAvoided(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 4, DefaultBounds())
+	d := newSimulation(t, 1, 4, DefaultBounds())
 	gang := d.submit(1, 8*time.Second, large(4, 8))
 	d.run(5 * time.Second)
 	d.submit(0, 2500*time.Millisecond, urgent(1, 1))
 	d.run(3500 * time.Millisecond)
-	is.True(d.took(gang) > 0) // not stopped
+	is.True(d.duration(gang) > 0) // not stopped
 	d.run(20 * time.Second)
 	d.check()
 }
 
 // The same urgent job, where its account is guaranteed an accelerator: it begins
 // in time whatever the gang loses.
-func TestGuaranteeIsReclaimed(t *testing.T) {
+func TestGuaranteedWorkPreemptsAtAnyCost(t *testing.T) {
 	is := is.New(t)
 	b := DefaultBounds()
-	d := newDrive(t, 1, 4, b)
+	d := newSimulation(t, 1, 4, b)
 	d.m.SetGuarantees(map[string]int{"a": 8})
 	d.submit(1, 8*time.Second, large(4, 8))
 	d.run(time.Second)
@@ -58,12 +58,12 @@
 // Room is cleared for an urgent gang, and the holds that would tell that the
 // stopped tasks have ended are lost. A look beside each finds it: the gang waits
 // for some tenths of a second and not for the holds' time-out.
-func TestClearedRoomIsFoundThoughHoldsAreLost(t *testing.T) {
+func TestPreemptedCapacityIsFoundThoughPollsAreLost(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 4, DefaultBounds())
+	d := newSimulation(t, 1, 4, DefaultBounds())
 	d.submit(2, 6*time.Second, small(32))
 	d.run(1500 * time.Millisecond)
-	d.lose = func(c Command) bool {
+	d.dropCommand = func(c Command) bool {
 		h, ok := c.(Poll)
 		return ok && !h.Extra
 	}
@@ -71,7 +71,7 @@
 	id := d.submit(0, 2500*time.Millisecond, urgent(2, 8))
 	d.run(1500 * time.Millisecond)
 	is.Equal(d.state(id), progress.Running)
-	d.lose = nil
+	d.dropCommand = nil
 	d.run(25 * time.Second)
 	d.check()
 }
@@ -79,9 +79,9 @@
 // Two urgent gangs wait for room that must not be cleared yet. Targets are held
 // back for them, so small tasks that arrive later do not take each bit that comes
 // free.
-func TestTargetsAreHeldBack(t *testing.T) {
+func TestTargetsAreReserved(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 2, DefaultBounds())
+	d := newSimulation(t, 1, 2, DefaultBounds())
 	d.submit(1, 3*time.Second, graph.Step{Count: 2, Needs: graph.Resources{CPU: 26000, Accelerators: 8}, Estimate: 8 * time.Second, Gang: true})
 	d.run(2500 * time.Millisecond)
 	id := d.submit(0, 2500*time.Millisecond, urgent(2, 4))
--- a/internal/work/dispatch/reachability_test.go
+++ b/internal/work/dispatch/reachability_test.go
@@ -11,13 +11,13 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// cutZone loses what is sent to a zone's targets from now on.
-func (d *drive) cutZone(zone string) {
-	away := map[string]bool{}
+// disconnectZone loses what is sent to a zone's targets from now on.
+func (d *simulation) disconnectZone(zone string) {
+	disconnected := map[string]bool{}
 	for _, t := range d.m.targetsByID {
-		away[t.ID] = t.Zone == zone
+		disconnected[t.ID] = t.Zone == zone
 	}
-	d.lose = func(c Command) bool { return away[targetOf(c)] }
+	d.dropCommand = func(c Command) bool { return disconnected[targetOf(c)] }
 }
 
 // A zone is cut off while some of its targets are idle: no hold is outstanding there
@@ -25,11 +25,11 @@
 // them take an idle rack of that zone and wait until the cut is over, since an order
 // without an answer may have been carried out. Once two targets have missed an order
 // the zone gets nothing more, and when it is back it gets work again.
-func TestNothingGoesToAZoneThatIsCutOff(t *testing.T) {
+func TestUnreachableZoneGetsNoWork(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 3, 4, DefaultBounds())
+	d := newSimulation(t, 3, 4, DefaultBounds())
 	zone := d.m.targetsByID[0].Zone // its rack is tried first
-	d.cutZone(zone)
+	d.disconnectZone(zone)
 	first := d.submit(0, 2*time.Second, urgent(2, 8))
 	d.run(500 * time.Millisecond)
 	var ids []graph.JobID
@@ -39,12 +39,12 @@
 	}
 	d.run(3 * time.Second)
 	for _, id := range ids {
-		is.True(d.took(id) > 0 && d.took(id) < 3*time.Second)
+		is.True(d.duration(id) > 0 && d.duration(id) < 3*time.Second)
 	}
-	is.Equal(d.took(first), time.Duration(0)) // it may run there
-	d.lose = nil
+	is.Equal(d.duration(first), time.Duration(0)) // it may run there
+	d.dropCommand = nil
 	d.run(8 * time.Second)
-	is.True(d.took(first) > 0)
+	is.True(d.duration(first) > 0)
 	for _, x := range d.m.targetsByID {
 		is.True(x.responsive())
 	}
@@ -55,13 +55,13 @@
 // were asked for before the zone was last heard of, so they counted for nothing, and kept
 // the misses that came after them from counting: for five seconds its idle targets got
 // urgent gangs, and each waited until the cut was over.
-func TestReportsThatBreakShowThatAZoneIsCutOff(t *testing.T) {
+func TestBrokenPollsRevealUnreachableZone(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 3, 8, DefaultBounds())
+	d := newSimulation(t, 3, 8, DefaultBounds())
 	zone := d.m.targetsByID[0].Zone
 	d.submit(2, 8*time.Second, urgent(3, 8)) // on three targets of the zone
 	d.run(1500 * time.Millisecond)
-	d.cutZone(zone)
+	d.disconnectZone(zone)
 	broken := 0
 	for _, x := range d.m.targetsByID {
 		if x.Zone == zone && x.pollPending {
@@ -77,18 +77,18 @@
 	}
 	d.run(2 * time.Second)
 	for _, id := range ids {
-		is.True(d.took(id) > 0)
+		is.True(d.duration(id) > 0)
 	}
-	d.lose = nil
+	d.dropCommand = nil
 	d.run(20 * time.Second)
 	d.check()
 }
 
 // Two busy targets of a zone crash at once, and another of it was heard of a moment ago: the
 // zone is not closed, and a gang that is placed just then starts there.
-func TestCrashesDoNotCloseABusyZone(t *testing.T) {
+func TestTargetCrashesDoNotCloseBusyZone(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 8, DefaultBounds())
+	d := newSimulation(t, 1, 8, DefaultBounds())
 	d.submit(2, 8*time.Second, urgent(2, 8))
 	d.submit(2, time.Second, small(1)) // ends in the moment of the crash
 	d.run(1100 * time.Millisecond)
@@ -101,11 +101,11 @@
 		}
 	}
 	is.Equal(len(bad), 2)
-	d.lose = func(c Command) bool { return bad[targetOf(c)] }
+	d.dropCommand = func(c Command) bool { return bad[targetOf(c)] }
 	id := d.submit(0, time.Second, urgent(5, 8))
 	d.run(1500 * time.Millisecond)
-	is.True(d.took(id) > 0)
-	d.lose = nil
+	is.True(d.duration(id) > 0)
+	d.dropCommand = nil
 	d.run(15 * time.Second)
 	d.check()
 }
@@ -114,9 +114,9 @@
 // waited for until their time-outs, which a leader that takes its orders' delays into
 // account makes long; what has ended there was told that much later. The first target that
 // answers has all others asked at once.
-func TestZoneIsAskedAtOnceWhenItIsBack(t *testing.T) {
+func TestZoneIsPolledWhenReachableAgain(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 3, 4, DefaultBounds())
+	d := newSimulation(t, 3, 4, DefaultBounds())
 	id := d.submit(2, 2*time.Second, small(80)) // on all targets
 	d.run(500 * time.Millisecond)
 	zone := d.m.targetsByID[0].Zone
@@ -125,9 +125,9 @@
 		lost[x.ID] = x.Zone == zone
 	}
 	first := d.m.targetsByID[0].ID
-	d.lose = func(c Command) bool {
-		h, hold := c.(Poll)
-		return lost[targetOf(c)] && (!hold || !h.Extra) // what was sent into the cut is lost
+	d.dropCommand = func(c Command) bool {
+		h, poll := c.(Poll)
+		return lost[targetOf(c)] && (!poll || !h.Extra) // what was sent into the cut is lost
 	}
 	d.run(4 * time.Second)
 	is.Equal(d.m.targets[first].reach, unreachable)
@@ -140,62 +140,62 @@
 			is.True(x.reportedAt.Sub(back) < 900*time.Millisecond)
 		}
 	}
-	d.lose = nil
+	d.dropCommand = nil
 	d.run(10 * time.Second)
-	is.True(d.took(id) > 0)
+	is.True(d.duration(id) > 0)
 	d.check()
 }
 
 // One target of a zone crashes, and the others there are idle. They are not taken for
 // cut off: a job that needs the whole zone's rack, less the one, starts at once.
-func TestOneSilentTargetIsNotAZone(t *testing.T) {
+func TestOneUnreachableTargetDoesNotCloseZone(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 4, DefaultBounds())
+	d := newSimulation(t, 1, 4, DefaultBounds())
 	bad := d.m.targetsByID[0].ID
-	d.lose = func(c Command) bool { return targetOf(c) == bad }
+	d.dropCommand = func(c Command) bool { return targetOf(c) == bad }
 	d.submit(2, time.Second, small(1))
 	d.run(500 * time.Millisecond)
 	is.True(!d.m.targetsByID[0].responsive())
 	id := d.submit(0, 2*time.Second, urgent(3, 8))
 	d.run(3 * time.Second)
-	is.True(d.took(id) > 0)
-	d.lose = nil
+	is.True(d.duration(id) > 0)
+	d.dropCommand = nil
 	d.run(12 * time.Second)
 	d.check()
 }
 
 // Two targets of a zone crash at once while the others there are idle. The zone seems to
 // be cut off; its other targets are asked, and get work as soon as they have answered.
-func TestIdleTargetsAreAskedWhenTheirZoneSeemsCutOff(t *testing.T) {
+func TestIdleTargetsArePolledWhenZoneSeemsUnreachable(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 5, DefaultBounds())
+	d := newSimulation(t, 1, 5, DefaultBounds())
 	bad := map[string]bool{d.m.targetsByID[0].ID: true, d.m.targetsByID[1].ID: true}
-	d.lose = func(c Command) bool { return bad[targetOf(c)] }
+	d.dropCommand = func(c Command) bool { return bad[targetOf(c)] }
 	d.submit(2, 6*time.Second, small(9)) // on both
 	d.run(500 * time.Millisecond)
 	is.True(!d.m.targetsByID[1].responsive())
 	id := d.submit(0, 2*time.Second, urgent(3, 8))
 	d.run(3 * time.Second)
-	is.True(d.took(id) > 0)
-	d.lose = nil
+	is.True(d.duration(id) > 0)
+	d.dropCommand = nil
 	d.run(20 * time.Second)
 	d.check()
 }
 
 // The answer to one start is lost. The target gets nothing more until it has answered
 // something, which a look beside the hold asks for at once.
-func TestTargetIsLookedAtAfterALostAnswer(t *testing.T) {
+func TestTargetIsPolledAfterLostAnswer(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 1, DefaultBounds())
+	d := newSimulation(t, 1, 1, DefaultBounds())
 	d.submit(2, 6*time.Second, small(1))
 	d.run(2500 * time.Millisecond)
-	d.mute = func(c Command) bool { _, ok := c.(Start); return ok }
+	d.dropAnswer = func(c Command) bool { _, ok := c.(Start); return ok }
 	d.submit(2, 6*time.Second, small(1))
 	d.run(370 * time.Millisecond)
 	is.True(!d.m.targetsByID[0].responsive())
 	d.run(150 * time.Millisecond) // before the start is sent again
 	is.True(d.m.targetsByID[0].responsive())
-	d.mute = nil
+	d.dropAnswer = nil
 	d.run(8 * time.Second)
 	d.check()
 }
@@ -203,12 +203,12 @@
 // A new leader's first holds are on their way to all targets of a zone when the first answer
 // comes. Asked a second time, with as many new connections, they kept a leader of thousands
 // of targets busy just when it had to catch up.
-func TestNewLeaderAsksEachTargetOnce(t *testing.T) {
+func TestNewLeaderPollsEachTargetOnce(t *testing.T) {
 	is := is.New(t)
 	m, now := New(2, DefaultBounds()), time.Unix(1000, 0)
 	m.UpdateTargets([]roster.Target{{ID: "a", Zone: "z"}, {ID: "b", Zone: "z"}, {ID: "c", Zone: "z"}}, now, now)
 	m.EnablePlacement(now, now)
-	holds := func() (n int) {
+	polls := func() (n int) {
 		for _, c := range m.Decide(now) {
 			if _, ok := c.(Poll); ok {
 				n++
@@ -216,8 +216,8 @@
 		}
 		return n
 	}
-	is.Equal(holds(), 3)
+	is.Equal(polls(), 3)
 	now = now.Add(500 * time.Millisecond)
 	m.Polled("a", Poll{Sent: now}, order.Report{Clock: 1}, now)
-	is.Equal(holds(), 0)
+	is.Equal(polls(), 0)
 }
--- a/internal/work/dispatch/schedule.go
+++ b/internal/work/dispatch/schedule.go
@@ -79,7 +79,7 @@
 // newPass begins a pass.
 func (m *Machine) newPass(now time.Time) {
 	m.pass = pass{victims: map[*target][]victim{}, losses: map[*step]float64{}, preemptibleCapacity: map[*target]graph.Resources{}}
-	m.considered = 0
+	m.targetsConsidered = 0
 	m.countBacklog(now)
 }
 
@@ -136,10 +136,10 @@
 	}
 	clear(m.openSteps[len(open):])
 	m.openSteps = open
-	m.nextPassAt = now.Add(time.Duration(m.considered) * passPausePerTarget)
+	m.nextPassAt = now.Add(time.Duration(m.targetsConsidered) * passPausePerTarget)
 	if startsPending {
 		m.placementDue = true
-		m.nextPassAt = now.Add(max(backlogPause, time.Duration(m.considered)*passPausePerTarget))
+		m.nextPassAt = now.Add(max(backlogPause, time.Duration(m.targetsConsidered)*passPausePerTarget))
 	}
 }
 
--- a/internal/work/dispatch/simulation_test.go
+++ b/internal/work/dispatch/simulation_test.go
@@ -15,41 +15,41 @@
 
 // Times of the driver: those of today's deployments.
 const (
-	driveStep = 10 * time.Millisecond
-	oneWay    = time.Millisecond
-	saveTime  = 12 * time.Millisecond
+	simulationStep = 10 * time.Millisecond
+	oneWay         = time.Millisecond
+	saveTime       = 12 * time.Millisecond
 )
 
-// drive runs a machine against the stand-in targets, step by step.
-type drive struct {
-	t       testing.TB
-	m       *Machine
-	p       *pool.Pool
-	now     time.Time
-	agenda  []happening
-	version int64
-	lose    func(c Command) bool // commands that are lost without an answer; nil: none
-	mute    func(c Command) bool // orders that are carried out without an answer; nil: none
-	log     []string
-	woken   bool // a decision is on the agenda
-	// slowSaves is what a save takes if that is longer than saveTime.
-	slowSaves time.Duration
-	ended     map[graph.JobID]time.Time // when jobs were shown as ended
-	asked     map[graph.JobID]time.Time
-	nextID    int
+// simulation runs a machine against the stand-in targets, step by step.
+type simulation struct {
+	t                 testing.TB
+	m                 *Machine
+	p                 *pool.Pool
+	now               time.Time
+	events            []event
+	version           int64
+	dropCommand       func(c Command) bool // commands that are lost without an answer; nil: none
+	dropAnswer        func(c Command) bool // orders that are carried out without an answer; nil: none
+	log               []string
+	decisionScheduled bool // a decision is on the agenda
+	// slowSaveTime is what a save takes if that is longer than saveTime.
+	slowSaveTime time.Duration
+	endedAt      map[graph.JobID]time.Time // when jobs were shown as ended
+	submittedAt  map[graph.JobID]time.Time
+	nextID       int
 }
 
-type happening struct {
+type event struct {
 	at time.Time
 	do func()
 }
 
-// newDrive returns a machine in its first term over racks of targets with eight
+// newSimulation returns a machine in its first term over racks of targets with eight
 // accelerators each.
-func newDrive(t testing.TB, racks, perRack int, b Bounds) *drive {
-	d := &drive{
+func newSimulation(t testing.TB, racks, perRack int, b Bounds) *simulation {
+	d := &simulation{
 		t: t, p: pool.New(pool.DefaultBounds()), now: time.Unix(1000, 0),
-		ended: map[graph.JobID]time.Time{}, asked: map[graph.JobID]time.Time{},
+		endedAt: map[graph.JobID]time.Time{}, submittedAt: map[graph.JobID]time.Time{},
 	}
 	for r := range racks {
 		for i := range perRack {
@@ -61,51 +61,51 @@
 		}
 	}
 	d.m = New(1, b, WithLog(d))
-	d.list()
+	d.listTargets()
 	d.m.EnablePlacement(d.now, d.now)
 	d.decide()
 	d.run(100 * time.Millisecond)
 	return d
 }
 
-// list has the machine read the list of targets.
-func (d *drive) list() {
+// listTargets has the machine read the listTargets of targets.
+func (d *simulation) listTargets() {
 	d.m.UpdateTargets(d.p.Roster(), d.now, d.now)
 	d.decide()
 }
 
-// runListing lets seconds pass, with a list at the end of each.
-func (d *drive) runListing(seconds int) {
+// runWithListing lets seconds pass, with a list at the end of each.
+func (d *simulation) runWithListing(seconds int) {
 	for range seconds {
 		d.run(time.Second)
-		d.list()
+		d.listTargets()
 	}
 }
 
 // Decided implements Log.
-func (d *drive) Decided(what string, kv ...any) {
+func (d *simulation) Decided(what string, kv ...any) {
 	d.log = append(d.log, fmt.Sprintf("%7.3f %s %v", d.now.Sub(time.Unix(1000, 0)).Seconds(), what, kv))
 }
 
-func (d *drive) after(wait time.Duration, f func()) {
-	h := happening{at: d.now.Add(wait), do: f}
-	at, _ := slices.BinarySearchFunc(d.agenda, h, func(a, b happening) int {
+func (d *simulation) after(wait time.Duration, f func()) {
+	h := event{at: d.now.Add(wait), do: f}
+	at, _ := slices.BinarySearchFunc(d.events, h, func(a, b event) int {
 		if c := a.at.Compare(b.at); c != 0 {
 			return c
 		}
 		return -1
 	})
-	d.agenda = slices.Insert(d.agenda, at, h)
+	d.events = slices.Insert(d.events, at, h)
 }
 
 // run lets time pass.
-func (d *drive) run(span time.Duration) {
+func (d *simulation) run(span time.Duration) {
 	until := d.now.Add(span)
 	for d.now.Before(until) {
-		next := d.now.Add(driveStep)
-		for len(d.agenda) > 0 && !d.agenda[0].at.After(next) {
-			h := d.agenda[0]
-			d.agenda = d.agenda[1:]
+		next := d.now.Add(simulationStep)
+		for len(d.events) > 0 && !d.events[0].at.After(next) {
+			h := d.events[0]
+			d.events = d.events[1:]
 			if h.at.After(d.now) {
 				d.now = h.at
 			}
@@ -121,37 +121,37 @@
 	}
 }
 
-func (d *drive) decide() {
+func (d *simulation) decide() {
 	for _, c := range d.m.Decide(d.now) {
-		d.carryOut(c)
+		d.execute(c)
 	}
-	if at, due := d.m.NextDecision(d.now); due && !d.woken {
-		d.woken = true
-		d.after(max(at.Sub(d.now), 0), func() { d.woken = false })
+	if at, due := d.m.NextDecision(d.now); due && !d.decisionScheduled {
+		d.decisionScheduled = true
+		d.after(max(at.Sub(d.now), 0), func() { d.decisionScheduled = false })
 	}
-	for id := range d.asked {
+	for id := range d.submittedAt {
 		if s, ok := d.m.State(id); ok && s.Final() {
-			if _, seen := d.ended[id]; !seen {
-				d.ended[id] = d.now
+			if _, seen := d.endedAt[id]; !seen {
+				d.endedAt[id] = d.now
 			}
 		}
 	}
 }
 
-func (d *drive) carryOut(c Command) {
-	lost := d.lose != nil && d.lose(c)
-	muted := d.mute != nil && d.mute(c)
+func (d *simulation) execute(c Command) {
+	lost := d.dropCommand != nil && d.dropCommand(c)
+	muted := d.dropAnswer != nil && d.dropAnswer(c)
 	switch c := c.(type) {
 	case Start:
 		if muted {
 			d.after(oneWay, func() { _, _ = d.p.Start(c.Target, c.Order, d.now) })
 			lost = true
 		}
-		d.give(lost, func() (int64, error) { return d.p.Start(c.Target, c.Order, d.now) }, func(clock int64, err error) {
+		d.deliver(lost, func() (int64, error) { return d.p.Start(c.Target, c.Order, d.now) }, func(clock int64, err error) {
 			d.m.StartAnswered(c.Target.ID, c.Order.Run, clock, err, d.now)
 		})
 	case Stop:
-		d.give(lost, func() (int64, error) { return d.p.Stop(c.Target, c.Run, d.m.Term(), d.now) }, func(clock int64, err error) {
+		d.deliver(lost, func() (int64, error) { return d.p.Stop(c.Target, c.Run, d.m.Term(), d.now) }, func(clock int64, err error) {
 			d.m.StopAnswered(c.Target.ID, c.Run, clock, err, d.now)
 		})
 	case Poll:
@@ -159,18 +159,18 @@
 			d.after(c.Order.Wait+600*time.Millisecond, func() { d.m.PollFailed(c.Target.ID, c, order.ErrUnanswered, d.now) })
 			return
 		}
-		d.after(oneWay, func() { d.hold(c, d.now.Add(c.Order.Wait)) })
+		d.after(oneWay, func() { d.answerPoll(c, d.now.Add(c.Order.Wait)) })
 	case Save:
-		d.after(max(saveTime, d.slowSaves), func() {
+		d.after(max(saveTime, d.slowSaveTime), func() {
 			d.version++
 			d.m.Saved(c.Part, d.version, d.now)
 		})
 	}
 }
 
-// give carries an order out and tells the machine the answer, or after a while
+// deliver carries an order out and tells the machine the answer, or after a while
 // that there was none.
-func (d *drive) give(lost bool, do func() (int64, error), answer func(clock int64, err error)) {
+func (d *simulation) deliver(lost bool, do func() (int64, error), answer func(clock int64, err error)) {
 	if lost {
 		d.after(350*time.Millisecond, func() { answer(0, order.ErrUnanswered) })
 		return
@@ -181,11 +181,11 @@
 	})
 }
 
-// hold answers a hold once there is an end to tell or its time is over.
-func (d *drive) hold(c Poll, until time.Time) {
+// answerPoll answers a answerPoll once there is an end to tell or its time is over.
+func (d *simulation) answerPoll(c Poll, until time.Time) {
 	rep, err := d.p.Hold(c.Target, c.Order, d.now)
 	if err == nil && len(rep.Ended) == 0 && d.now.Before(until) {
-		d.after(driveStep, func() { d.hold(c, until) })
+		d.after(simulationStep, func() { d.answerPoll(c, until) })
 		return
 	}
 	d.after(oneWay, func() {
@@ -198,7 +198,7 @@
 }
 
 // submit hands in a job whose tasks take so long.
-func (d *drive) submit(priority int, work time.Duration, steps ...graph.Step) graph.JobID {
+func (d *simulation) submit(priority int, work time.Duration, steps ...graph.Step) graph.JobID {
 	d.nextID++
 	j := &graph.Job{
 		ID: graph.JobID(fmt.Sprintf("%016x", d.nextID)), Queue: "q", Service: "s", Account: "a", Priority: priority,
@@ -208,29 +208,29 @@
 		j.Slack, j.Allowance = 1.5, 250*time.Millisecond
 	}
 	d.p.Submit(j, pool.Behaviour{Work: func(graph.TaskID) time.Duration { return work }})
-	d.asked[j.ID] = d.now
+	d.submittedAt[j.ID] = d.now
 	d.m.Accept(j, d.now)
 	d.decide()
 	return j.ID
 }
 
-// took returns how long a job took until it was shown as ended, or 0 if it has
+// duration returns how long a job duration until it was shown as ended, or 0 if it has
 // not ended.
-func (d *drive) took(id graph.JobID) time.Duration {
-	at, ok := d.ended[id]
+func (d *simulation) duration(id graph.JobID) time.Duration {
+	at, ok := d.endedAt[id]
 	if !ok {
 		return 0
 	}
-	return at.Sub(d.asked[id])
+	return at.Sub(d.submittedAt[id])
 }
 
 // check fails the test for each breach, and for each job that has not ended.
-func (d *drive) check() {
+func (d *simulation) check() {
 	d.t.Helper()
 	for _, b := range d.p.Breaches() {
 		d.t.Error(b)
 	}
-	for id := range d.asked {
+	for id := range d.submittedAt {
 		if s, _ := d.m.State(id); !s.Final() {
 			d.t.Errorf("job %s is %s", id, s)
 		}
@@ -242,7 +242,7 @@
 	}
 }
 
-func (d *drive) state(id graph.JobID) progress.State {
+func (d *simulation) state(id graph.JobID) progress.State {
 	s, _ := d.m.State(id)
 	return s
 }
--- a/internal/work/dispatch/straggler.go
+++ b/internal/work/dispatch/straggler.go
@@ -133,7 +133,7 @@
 // far its estimate is off. Runs that would begin anew are left: they would
 // lose more than they gain.
 func (m *Machine) straggles(r *run, now time.Time) bool {
-	peers := m.peersOf(r.task.step, now)
+	peers := m.speedsOf(r.task.step, now)
 	far := m.farFactor(r, peers.severalRacks)
 	speed := r.speed(far)
 	if speed == 0 {
@@ -152,35 +152,35 @@
 	return here > moveGain*left*estimate/usual+moveCost.Seconds()
 }
 
-// peersMaxAge is how long what is known of a step's tasks together is used: a wide step
+// speedsMaxAge is how long what is known of a step's tasks together is used: a wide step
 // runs on hundreds of targets, and each of their reports would look at all its tasks.
-const peersMaxAge = 100 * time.Millisecond
+const speedsMaxAge = 100 * time.Millisecond
 
-// peers is what is known of a step's tasks together.
-type peers struct {
+// stepSpeeds is what is known of a step's tasks together.
+type stepSpeeds struct {
 	asOf                  time.Time
 	severalRacks          bool
 	target                *target // of the fastest task; nil: none is known
 	speed, elsewhereSpeed float64 // of the fastest task, and of the fastest on other targets; 0: not known
 }
 
-// peersOf returns what is known of a step's tasks together, as of a moment ago.
-func (m *Machine) peersOf(s *step, now time.Time) *peers {
-	if now.Sub(s.peers.asOf) < peersMaxAge {
-		return &s.peers
+// speedsOf returns what is known of a step's tasks together, as of a moment ago.
+func (m *Machine) speedsOf(s *step, now time.Time) *stepSpeeds {
+	if now.Sub(s.speeds.asOf) < speedsMaxAge {
+		return &s.speeds
 	}
-	s.peers = peers{asOf: now, severalRacks: s.spec.SameRack && s.onSeveralRacks()}
+	s.speeds = stepSpeeds{asOf: now, severalRacks: s.spec.SameRack && s.onSeveralRacks()}
 	for _, x := range s.tasks {
 		for _, r := range x.runs {
 			if r.phase == running {
-				s.peers.add(r.target, r.speed(m.farFactor(r, s.peers.severalRacks)))
+				s.speeds.add(r.target, r.speed(m.farFactor(r, s.speeds.severalRacks)))
 			}
 		}
 	}
-	return &s.peers
+	return &s.speeds
 }
 
-func (p *peers) add(t *target, speed float64) {
+func (p *stepSpeeds) add(t *target, speed float64) {
 	switch {
 	case t == p.target:
 		p.speed = max(p.speed, speed)
@@ -193,7 +193,7 @@
 
 // expectedSpeed returns the speed of the fastest task on another target than the one given,
 // or 1 if none is known.
-func (p *peers) expectedSpeed(t *target) float64 {
+func (p *stepSpeeds) expectedSpeed(t *target) float64 {
 	usual := p.speed
 	if p.target == t {
 		usual = p.elsewhereSpeed
--- a/internal/work/dispatch/straggler_test.go
+++ b/internal/work/dispatch/straggler_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// onlyTarget returns the target on which a job runs.
-func (d *drive) onlyTarget(id string) string {
+// targetOfJob returns the target on which a job runs.
+func (d *simulation) targetOfJob(id string) string {
 	for _, x := range d.m.targetsByID {
 		for r := range x.runs {
 			if string(r.Task.Job) == id {
@@ -22,61 +22,61 @@
 // The tasks on a target stand still while it reports itself well. What can be
 // resumed is moved after some reports without progress, and the target gets no
 // new work.
-func TestStandstillIsMoved(t *testing.T) {
+func TestStalledRunIsMoved(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 4, DefaultBounds())
+	d := newSimulation(t, 1, 4, DefaultBounds())
 	s := small(1)
 	s.Checkpointing = true
 	id := d.submit(2, 6*time.Second, s)
 	d.run(3 * time.Second)
-	bad := d.onlyTarget(string(id))
+	bad := d.targetOfJob(string(id))
 	d.p.Hang(bad, true)
 	d.run(5 * time.Second)
-	is.True(d.onlyTarget(string(id)) != bad)
+	is.True(d.targetOfJob(string(id)) != bad)
 	next := d.submit(2, time.Second, small(1))
 	d.run(100 * time.Millisecond)
-	is.True(d.onlyTarget(string(next)) != bad)
+	is.True(d.targetOfJob(string(next)) != bad)
 	d.run(10 * time.Second)
 	d.check()
 }
 
 // A run that cannot be resumed is left for some seconds, since standstills pass;
 // one that lasts is given up in the end.
-func TestLongStandstillIsGivenUp(t *testing.T) {
+func TestLongStallIsGivenUp(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 2, DefaultBounds())
+	d := newSimulation(t, 1, 2, DefaultBounds())
 	id := d.submit(2, 6*time.Second, small(1))
 	d.run(3 * time.Second)
-	bad := d.onlyTarget(string(id))
+	bad := d.targetOfJob(string(id))
 	d.p.Hang(bad, true)
 	d.run(5 * time.Second)
-	is.Equal(d.onlyTarget(string(id)), bad)
+	is.Equal(d.targetOfJob(string(id)), bad)
 	d.run(9 * time.Second)
-	is.True(d.onlyTarget(string(id)) != bad)
+	is.True(d.targetOfJob(string(id)) != bad)
 	d.run(10 * time.Second)
 	d.check()
 }
 
 // A target runs its tasks ten times slower. A run that can be resumed is moved,
 // and ends long before it would have there.
-func TestCrawlingRunIsMoved(t *testing.T) {
+func TestStragglerIsMoved(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 2, DefaultBounds())
+	d := newSimulation(t, 1, 2, DefaultBounds())
 	s := small(1)
 	s.Checkpointing = true
 	id := d.submit(2, 6*time.Second, s)
 	d.run(500 * time.Millisecond)
-	d.p.Slow(d.onlyTarget(string(id)), 0.1)
+	d.p.Slow(d.targetOfJob(string(id)), 0.1)
 	d.run(25 * time.Second)
-	is.True(d.took(id) > 0 && d.took(id) < 20*time.Second)
+	is.True(d.duration(id) > 0 && d.duration(id) < 20*time.Second)
 	d.check()
 }
 
 // Two jobs lose a run each on the same target, which fails all that it starts:
 // from then on it gets none. Each job fails there once, and not to its end.
-func TestFailingTargetIsShunned(t *testing.T) {
+func TestFailingTargetIsAvoided(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 3, DefaultBounds())
+	d := newSimulation(t, 1, 3, DefaultBounds())
 	bad := d.m.targetsByID[0].ID // gets the first tasks
 	d.p.FailAll(bad, true)
 	for range 12 {
@@ -94,14 +94,14 @@
 
 // A target leaves before a long run there would end. What can be resumed is moved
 // at once.
-func TestRunIsMovedOffALeavingTarget(t *testing.T) {
+func TestRunIsMovedOffDrainingTarget(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 2, DefaultBounds())
+	d := newSimulation(t, 1, 2, DefaultBounds())
 	s := small(1)
 	s.Checkpointing = true
 	id := d.submit(2, 8*time.Second, s)
 	d.run(time.Second)
-	old := d.onlyTarget(string(id))
+	old := d.targetOfJob(string(id))
 	d.p.Drain(old)
 	list := d.p.Roster()
 	for i := range list {
@@ -111,7 +111,7 @@
 	}
 	d.m.UpdateTargets(list, d.now, d.now)
 	d.run(3 * time.Second)
-	is.True(d.onlyTarget(string(id)) != old)
+	is.True(d.targetOfJob(string(id)) != old)
 	d.run(10 * time.Second)
 	d.check()
 }
--- a/internal/work/dispatch/target.go
+++ b/internal/work/dispatch/target.go
@@ -31,7 +31,7 @@
 	unreachableSince time.Time          // when it ceased to answer
 	runs             map[order.Run]*run // all runs that may exist there
 	used             graph.Resources    // charge of the runs that may exist there
-	reserved         graph.Resources    // charge of the runs that wait for room there
+	waitingCharge    graph.Resources    // charge of the runs that wait for room there
 	clockMS          int64              // its clock when last told
 	clockAt          time.Time          // when that was received
 	leaseEnd         time.Time          // everything that was ordered there has lapsed by then
@@ -82,7 +82,7 @@
 
 // freeCapacity returns what is free, counting what waits for freeCapacity as taken.
 func (t *target) freeCapacity() graph.Resources {
-	return t.usableCapacity().Minus(t.used).Minus(t.reserved)
+	return t.usableCapacity().Minus(t.used).Minus(t.waitingCharge)
 }
 
 // estimatedClock estimates the target's estimatedClock.
--- a/internal/work/dispatch/warmup_test.go
+++ b/internal/work/dispatch/warmup_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// restart has a rack's targets start anew, slow for a while.
-func (d *drive) restart(rack string, cold time.Duration) {
+// restartRack has a rack's targets start anew, slow for a while.
+func (d *simulation) restartRack(rack string, cold time.Duration) {
 	list := d.p.Roster()
 	for i := range list {
 		if list[i].Rack == rack {
@@ -21,10 +21,10 @@
 
 // A zone's targets come back cold and are the only ones. Filled at once, they would slow
 // all that waits; they get more as they warm up, and the whole when they are warm.
-func TestColdTargetsAreFilledAsTheyWarmUp(t *testing.T) {
+func TestColdTargetsFillAsTheyWarmUp(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 2, DefaultBounds())
-	d.restart("r1-0", 4*time.Second)
+	d := newSimulation(t, 1, 2, DefaultBounds())
+	d.restartRack("r1-0", 4*time.Second)
 	d.submit(2, 20*time.Second, small(16))
 	d.run(time.Second)
 	after1 := d.p.Starts()
@@ -37,10 +37,10 @@
 }
 
 // Warm targets have room: cold ones get nothing.
-func TestWarmTargetsComeFirst(t *testing.T) {
+func TestWarmTargetsArePreferred(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 2, 2, DefaultBounds())
-	d.restart("r1-0", 10*time.Second)
+	d := newSimulation(t, 2, 2, DefaultBounds())
+	d.restartRack("r1-0", 10*time.Second)
 	d.submit(2, time.Second, small(16))
 	d.run(500 * time.Millisecond)
 	is.Equal(d.p.StartsOn("r0-0#1")+d.p.StartsOn("r0-1#1"), 0)
