--- a/internal/work/dispatch/accept.go
+++ b/internal/work/dispatch/accept.go
@@ -116,11 +116,11 @@
 	}
 }
 
-// restoreRun takes over a run that an earlier leader noted. It exists until its
+// restoreRun takes over a run that an earlier leader recorded. It exists until its
 // target reports without it, or its leases have lapsed.
 func (m *Machine) restoreRun(x *task, p progress.Place, now time.Time) {
 	t := m.targets[p.Target]
-	if t == nil { // Listed tells the rest, if it is still there
+	if t == nil { // UpdateTargets tells the rest, if it is still there
 		t = m.addTarget(roster.Target{ID: p.Target})
 	}
 	r := &run{
--- a/internal/work/dispatch/advice.go
+++ b/internal/work/dispatch/advice.go
@@ -57,7 +57,7 @@
 // ticket returns the ticket to start the step on a target; empty for none.
 func (s *step) ticket(t *target) string { return s.permits.tickets[t.ID].text }
 
-// requestAdvice asks for leave to run a step that waits, on targets that could take
+// requestAdvice asks for permission to run a step that waits, on targets that could take
 // its tasks: those with room first.
 func (m *Machine) requestAdvice(s *step, now time.Time) {
 	if !s.job.spec.Advised || m.advicePending || now.Before(m.nextAdviceAt) {
--- a/internal/work/dispatch/attempts.go
+++ b/internal/work/dispatch/attempts.go
@@ -23,7 +23,7 @@
 }
 
 // recordFailure notes that a run failed on a target. It reports whether that is new: an end is
-// listed again to a new leader, and a gang's run may recordFailure in several members.
+// listed again to a new leader, and a gang's run may fail in several members.
 func (a *attempts) recordFailure(run int, t *target, now time.Time) bool {
 	if slices.Contains(a.failed, run) {
 		return false
--- a/internal/work/dispatch/backlog_test.go
+++ b/internal/work/dispatch/backlog_test.go
@@ -24,7 +24,7 @@
 	return j
 }
 
-// savedStarts returns the starts that a decision asks for once its notes are saved.
+// savedStarts returns the starts that a decision asks for once its runs are saved.
 func savedStarts(d *simulation) (starts []Start) {
 	for _, c := range d.m.Decide(d.now) {
 		switch c := c.(type) {
--- a/internal/work/dispatch/command.go
+++ b/internal/work/dispatch/command.go
@@ -29,9 +29,9 @@
 	Class  limiter.Class // in which it waits for its turn
 }
 
-// Poll asks for a report of a target. The answer goes to Machine.Held or
-// Machine.HoldFailed. A target has one hold outstanding at most, and beside it
-// one look.
+// Poll asks for a report of a target. The answer goes to Machine.Polled or
+// Machine.PollFailed. A target has one poll outstanding at most, and beside it
+// one extra poll.
 type Poll struct {
 	Target order.Address
 	Order  order.Hold
@@ -41,7 +41,7 @@
 }
 
 // missedSince returns the moment from which the report was missed that failed at a time: one that
-// waits for an end is not missedSince before its wait is over, or its connection broke.
+// waits for an end is not due before its wait is over, or its connection broke.
 func (h Poll) missedSince(failedAt time.Time) time.Time {
 	if due := h.Sent.Add(h.Order.Wait); due.Before(failedAt) {
 		return due
--- a/internal/work/dispatch/ends.go
+++ b/internal/work/dispatch/ends.go
@@ -148,7 +148,7 @@
 	return true
 }
 
-// taskDone takes in that a run of a task is taskDone; of a gang, all its tasks are. The
+// taskDone takes in that a run of a task is done; of a gang, all its tasks are. The
 // number is 0 where it is not known.
 func (m *Machine) taskDone(x *task, run int, now time.Time) {
 	s := x.step
@@ -210,7 +210,7 @@
 // endedWithGang reports whether a run of a job in a final state has ended on its
 // target, though that is not listed yet: the members of a gang end done together. A
 // stop for each would be a third of all orders, and be answered with that end.
-// seenRunning stops one that goes on all the same.
+// runReported stops one that goes on all the same.
 func (r *run) endedWithGang(s progress.State) bool {
 	step := r.task.step
 	return s == progress.Completed && step.spec.Gang && r.phase == running && r.Number == step.doneRun
--- a/internal/work/dispatch/fit.go
+++ b/internal/work/dispatch/fit.go
@@ -52,7 +52,7 @@
 // fit says how well a task fits a target; lower is better, the first difference
 // decides.
 type fit struct {
-	risk         int // 1 if the target is not known to be sound and this is the last attempt, 2 if it is doubted or slow, or the task shuns it
+	risk         int // 1 if the target is not known to be sound and this is the last attempt, 2 if it is doubted or slow, or the task avoids it
 	cold         int // 1 if the target is still slow after its start
 	far          int // 1 if its data is on another rack
 	interference int // tasks there that it would disturb, or that would disturb it
@@ -115,7 +115,7 @@
 	}
 }
 
-// reservedForOther reports whether a target is held back for a step that is more urgent.
+// reservedForOther reports whether a target is reserved for a step that is more urgent.
 func (m *Machine) reservedForOther(t *target, s *step) bool {
 	for o := range m.reserved[t] {
 		if o != s {
--- a/internal/work/dispatch/gang.go
+++ b/internal/work/dispatch/gang.go
@@ -34,13 +34,13 @@
 	return true
 }
 
-// targetSet is a targetSet of targets that could hold a gang.
+// targetSet is a set of targets that could hold a gang.
 type targetSet struct {
 	targets []*target
 	far     int // how often the gang runs slower there by the far factor: 0 to 2
 }
 
-// targetSets returns the targetSets of targets that could hold the whole gang if they were
+// targetSets returns the sets of targets that could hold the whole gang if they were
 // empty, those first on which it runs fastest. A gang that wants one rack still
 // may run over several, and one whose data is on a rack on another, only slower.
 func (m *Machine) targetSets(s *step, now time.Time) []targetSet {
@@ -253,7 +253,7 @@
 	return plan, left - len(plan)*charge.Accelerators
 }
 
-// recordIfFits notes runs that were just placed if the room for all of them is
+// recordIfFits records runs that were just placed if the room for all of them is
 // free now; else they wait for it.
 func (m *Machine) recordIfFits(runs []*run) {
 	if fitTogether(runs) {
@@ -276,7 +276,7 @@
 	return true
 }
 
-// recordWaiting notes runs whose room has become free, and gives up those whose
+// recordWaiting records runs whose room has become free, and gives up those whose
 // target takes no work any more.
 func (m *Machine) recordWaiting(now time.Time) {
 	if !m.recheckWaiting {
@@ -296,7 +296,7 @@
 	}
 }
 
-// isWaiting reports whether a run still isWaiting for room.
+// isWaiting reports whether a run still waits for capacity.
 func (r *run) isWaiting() bool { return r.phase == awaitingCapacity && r.target.runs[r.Run] == r }
 
 // waitingGroups returns the runs that wait for room: gangs together, others
--- a/internal/work/dispatch/gang_end.go
+++ b/internal/work/dispatch/gang_end.go
@@ -34,7 +34,7 @@
 // lapsed on a target that lost power, or under a new leader until those of its
 // predecessor have. One may have failed, which the target tells when it answers again:
 // that counts as an attempt until its leases have lapsed. A run that may have been the
-// last attempt is not given up, and stays noted for the next leader.
+// last attempt is not given up, and stays recorded for the next leader.
 func (m *Machine) releaseFirstEnded(r *run, now time.Time) {
 	s, t := r.task.step, r.target
 	if !s.spec.Gang || t.reach == reachable || t.runs[r.Run] != r || !s.firstEndedOn(t, r.Number) || s.attemptsMayBeExhausted(1, now) {
--- a/internal/work/dispatch/gang_end_test.go
+++ b/internal/work/dispatch/gang_end_test.go
@@ -128,7 +128,7 @@
 	is.Equal(cut.reach, unreachable)
 	is.Equal(len(s.gangEnd.brokenMembers), 2)
 	is.Equal(s.gangRun, 2)
-	is.Equal(len(s.tasks[1].runs), 1) // still noted, for a successor
+	is.Equal(len(s.tasks[1].runs), 1) // still recorded, for a successor
 	d.dropCommand = nil
 	d.run(10 * time.Second)
 	is.Equal(d.state(id), progress.Failed)
--- a/internal/work/dispatch/gang_test.go
+++ b/internal/work/dispatch/gang_test.go
@@ -59,9 +59,9 @@
 		d.now = d.now.Add(10 * time.Millisecond)
 	}
 	if searches < 4 || searches > 6 {
-		t.Errorf("%d looks in a second", searches)
+		t.Errorf("%d searches in a second", searches)
 	}
 	if len(s.reservation) == 0 || !d.m.reservedForOther(s.reservation[0], &step{}) {
-		t.Error("targets are not held back between two looks")
+		t.Error("targets are not reserved between two searches")
 	}
 }
--- a/internal/work/dispatch/health.go
+++ b/internal/work/dispatch/health.go
@@ -11,7 +11,7 @@
 // if it is given work as soon as it is free again. So a target that was condemned
 // is tried with one run at a time, until one that began since has gone well.
 
-// timeWorked returns how long a run has timeWorked, as far as it can be told: a gang works
+// timeWorked returns how long a run has worked, as far as it can be told: a gang works
 // from the moment when all members are there, and a run that resumes when it has
 // restored its checkpoint. Of a run that is not known it is all of its time.
 func (m *Machine) timeWorked(r *run, now time.Time) time.Duration {
--- a/internal/work/dispatch/health_test.go
+++ b/internal/work/dispatch/health_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// countCompleted returns how many of the jobs were countCompleted.
+// countCompleted returns how many of the jobs were completed.
 func (d *simulation) countCompleted(ids []graph.JobID) int {
 	n := 0
 	for _, id := range ids {
--- a/internal/work/dispatch/load_test.go
+++ b/internal/work/dispatch/load_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// runWithLoad lets time runWithLoad while jobs come in.
+// runWithLoad lets time pass while jobs come in.
 func (s *workload) runWithLoad(span time.Duration) {
 	for until := s.now.Add(span); s.now.Before(until); {
 		s.run(max(simulationStep, time.Duration(s.rnd.ExpFloat64()/s.rate*float64(time.Second))))
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -111,8 +111,8 @@
 func (m *Machine) wallMS(now time.Time) int64 { return now.Add(m.wallOffset).UnixMilli() }
 
 // EnablePlacement allows placing: all accepted jobs and all registered targets were told.
-// What an earlier leader noted on targets that do not report is believed over at
-// heirEnd: by then all leases have lapsed that it can have granted.
+// What an earlier leader recorded on targets that do not report is believed over at
+// predecessorLeasesEnd: by then all leases have lapsed that it can have granted.
 func (m *Machine) EnablePlacement(predecessorLeasesEnd, now time.Time) {
 	m.placementEnabled, m.placementEnabledAt, m.placementDue = true, now, true
 	for _, t := range m.targetsByID {
--- a/internal/work/dispatch/orders.go
+++ b/internal/work/dispatch/orders.go
@@ -118,14 +118,14 @@
 		r.unanswered = true
 		m.targetMissed(t, r.sentAt, now)
 	case errors.Is(err, order.ErrUnreached):
-		m.targetMissed(t, r.sentAt, now) // it is sent again by tickRun
+		m.targetMissed(t, r.sentAt, now) // it is sent again by retryOrder
 	default:
 		m.startRefused(r, err, now)
 	}
 	m.placementDue = true
 }
 
-// isAnswer reports whether an order was isAnswer, whatever the answer was.
+// isAnswer reports whether an order was answered, whatever the answer was.
 func isAnswer(err error) bool {
 	return !errors.Is(err, order.ErrUnanswered) && !errors.Is(err, order.ErrUnreached) && !errors.Is(err, order.ErrWithheld)
 }
--- a/internal/work/dispatch/pacing.go
+++ b/internal/work/dispatch/pacing.go
@@ -17,7 +17,7 @@
 	// paceWait is how long a report waits on a target where tasks that serve and
 	// tasks that fill are side by side.
 	paceWait = time.Second
-	// slowDownAbove and paceBelow: shares of the limit on the tail above which filling
+	// slowDownAbove and speedUpBelow: shares of the limit on the tail above which filling
 	// tasks are slowed down, and below which they are let on. The gap keeps them
 	// from swinging.
 	slowDownAbove = 0.85
--- a/internal/work/dispatch/query.go
+++ b/internal/work/dispatch/query.go
@@ -19,7 +19,7 @@
 	return j.status(), true
 }
 
-// status returns the state that clients may be status.
+// status returns the state that clients may see.
 func (j *job) status() progress.State {
 	if !j.published.Final() && j.started {
 		return progress.Running
--- a/internal/work/dispatch/restore_test.go
+++ b/internal/work/dispatch/restore_test.go
@@ -111,7 +111,7 @@
 }
 
 // A new leader finds in the rows where a run was placed. Its target reports
-// without it: the order that was noted was never carried out, and cannot be any
+// without it: the order that was recorded was never carried out, and cannot be any
 // more, since the target has seen the new term. The task is started again.
 func TestRecordedRunThatNeverStarted(t *testing.T) {
 	is := is.New(t)
@@ -134,7 +134,7 @@
 	is.Equal(started[0].Order.Run.Number, 2)
 }
 
-// A noted run's target does not report. Its task waits until all leases have
+// A recorded run's target does not report. Its task waits until all leases have
 // lapsed that the earlier leader can have granted, and is started elsewhere then.
 func TestRecordedRunOnUnreachableTarget(t *testing.T) {
 	is := is.New(t)
--- a/internal/work/dispatch/run.go
+++ b/internal/work/dispatch/run.go
@@ -16,7 +16,7 @@
 	starting                      // a start was sent
 	running                       // the target has it
 	stopping                      // a stop is wanted
-	unconfirmed                   // an earlier leader noted it; its target has not reported
+	unconfirmed                   // an earlier leader recorded it; its target has not reported
 )
 
 // run is a run of a task on a target, from the decision to start it until it
--- a/internal/work/dispatch/save.go
+++ b/internal/work/dispatch/save.go
@@ -72,7 +72,7 @@
 	return strconv.Itoa(id.Occurrence) + "." + strconv.Itoa(id.Step)
 }
 
-// savedProgress returns what must be savedProgress of the step, or nil for nothing.
+// savedProgress returns what must be kept of the step, or nil for nothing.
 func (s *step) savedProgress() *progress.Step {
 	k := &progress.Step{}
 	empty := len(s.gangAttempts.failed) == 0 && s.savedCheckpoint == ""
--- a/internal/work/dispatch/simulation_test.go
+++ b/internal/work/dispatch/simulation_test.go
@@ -68,7 +68,7 @@
 	return d
 }
 
-// listTargets has the machine read the listTargets of targets.
+// listTargets has the machine read the list of targets.
 func (d *simulation) listTargets() {
 	d.m.UpdateTargets(d.p.Roster(), d.now, d.now)
 	d.decide()
@@ -181,7 +181,7 @@
 	})
 }
 
-// answerPoll answers a answerPoll once there is an end to tell or its time is over.
+// answerPoll answers a poll once there is an end to tell or its time is over.
 func (d *simulation) answerPoll(c Poll, until time.Time) {
 	rep, err := d.p.Hold(c.Target, c.Order, d.now)
 	if err == nil && len(rep.Ended) == 0 && d.now.Before(until) {
@@ -214,7 +214,7 @@
 	return j.ID
 }
 
-// duration returns how long a job duration until it was shown as ended, or 0 if it has
+// duration returns how long a job took until it was shown as ended, or 0 if it has
 // not ended.
 func (d *simulation) duration(id graph.JobID) time.Duration {
 	at, ok := d.endedAt[id]
@@ -247,7 +247,7 @@
 	return s
 }
 
-// task returns a step of single tasks like those that fill the racks.
+// small returns a step of single tasks like those that fill the racks.
 func small(count int) graph.Step {
 	return graph.Step{Count: count, Needs: graph.Resources{CPU: 5600, MemoryMB: 29000, Accelerators: 1}, Estimate: 6 * time.Second}
 }
--- a/internal/work/dispatch/straggler.go
+++ b/internal/work/dispatch/straggler.go
@@ -7,7 +7,7 @@
 // Figures of stragglers.
 const (
 	// stallTime is how long a run may report the same progress before it counts
-	// as standing still, at least; standShare the same as a share of its estimate.
+	// as standing still, at least; stallShare the same as a share of its estimate.
 	// Reports come every two seconds at the latest, and a hundredth of the longest
 	// runs takes a tenth of a second.
 	stallTime  = 1800 * time.Millisecond
--- a/internal/work/dispatch/target.go
+++ b/internal/work/dispatch/target.go
@@ -80,12 +80,12 @@
 	return !t.listed && len(t.runs) == 0 && len(t.unackedEnds) == 0 && (t.reach != reachable || t.acked == t.confirmedAck)
 }
 
-// freeCapacity returns what is free, counting what waits for freeCapacity as taken.
+// freeCapacity returns what is free, counting what waits for capacity as taken.
 func (t *target) freeCapacity() graph.Resources {
 	return t.usableCapacity().Minus(t.used).Minus(t.waitingCharge)
 }
 
-// estimatedClock estimates the target's estimatedClock.
+// estimatedClock estimates the target's clock.
 func (t *target) estimatedClock(now time.Time) int64 {
 	return t.clockMS + now.Sub(t.clockAt).Milliseconds()
 }
@@ -98,7 +98,7 @@
 }
 
 // grantLease returns the deadline for an order that is sent now, and notes when all
-// that it may grantLease has lapsed: the target's clock may be slow by clockDrift.
+// that it may grant has lapsed: the target's clock may be slow by clockDrift.
 func (t *target) grantLease(now time.Time, lease time.Duration) int64 {
 	end := now.Add(lease + time.Duration(float64(lease)*clockDrift*2) + leaseSlack)
 	if end.After(t.leaseEnd) {
--- a/internal/work/dispatch/warmup.go
+++ b/internal/work/dispatch/warmup.go
@@ -32,7 +32,7 @@
 // cold reports whether the target is still slow after its start.
 func (t *target) cold() bool { return t.coldShare > 0 }
 
-// usableCapacity returns what of the target's usableCapacity may be used. One that has nothing to do
+// usableCapacity returns what of the target's capacity may be used. One that has nothing to do
 // may always be given something.
 func (t *target) usableCapacity() graph.Resources {
 	if !t.cold() || len(t.runs) == 0 {
