--- a/internal/work/dispatch/advice.go
+++ b/internal/work/dispatch/advice.go
@@ -65,7 +65,7 @@
 	}
 	var names []string
 	for _, withRoom := range []bool{true, false} {
-		for _, t := range m.targetsByID {
+		for _, t := range m.sortedTargets {
 			if len(names) == maxAdviceTargets || s.permits.denied[t.ID] || s.permitted(t, now) || !s.eligibleWithoutAdvice(t, now) {
 				continue
 			}
--- a/internal/work/dispatch/backlog.go
+++ b/internal/work/dispatch/backlog.go
@@ -46,7 +46,7 @@
 	if m.backlog.limit == 0 {
 		return
 	}
-	for _, t := range m.targetsByID {
+	for _, t := range m.sortedTargets {
 		for _, r := range t.runs {
 			if r.startPending(now) {
 				m.backlog.add(r)
--- a/internal/work/dispatch/command.go
+++ b/internal/work/dispatch/command.go
@@ -42,8 +42,8 @@
 
 // missedSince returns the moment from which the report was missed that failed at a time: one that
 // waits for an end is not due before its wait is over, or its connection broke.
-func (h Poll) missedSince(failedAt time.Time) time.Time {
-	if due := h.Sent.Add(h.Order.Wait); due.Before(failedAt) {
+func (p Poll) missedSince(failedAt time.Time) time.Time {
+	if due := p.Sent.Add(p.Order.Wait); due.Before(failedAt) {
 		return due
 	}
 	return failedAt
--- a/internal/work/dispatch/ends.go
+++ b/internal/work/dispatch/ends.go
@@ -15,10 +15,10 @@
 
 // runsWhere returns those of the target's runs that a condition holds for, in a fixed
 // order.
-func (t *target) runsWhere(holds func(*run) bool) []*run {
+func (t *target) runsWhere(matches func(*run) bool) []*run {
 	var runs []*run
 	for _, r := range t.runs {
-		if holds(r) {
+		if matches(r) {
 			runs = append(runs, r)
 		}
 	}
@@ -241,9 +241,9 @@
 	}
 	first := len(a.failed) == 1 // one that failed before is perhaps itself at fault
 	if s.implicatesTargets() && (first || early) {
-		was := t.health.Condemned(now)
+		wasQuarantined := t.health.Condemned(now)
 		t.health.Failed(worked, s.spec.Estimate, now)
-		m.logIfQuarantined(t, was, "a run failed there after "+worked.String(), x.id(), now)
+		m.logIfQuarantined(t, wasQuarantined, "a run failed there after "+worked.String(), x.id(), now)
 	}
 	if len(a.failed) >= s.job.spec.MaxAttempts {
 		m.log.Decided("job failed", "job", s.job.spec.ID, "task", x.id(), "failures", len(a.failed), "target", t.ID)
@@ -252,10 +252,10 @@
 }
 
 // runReported takes in a run that a target has.
-func (m *Machine) runReported(t *target, seen order.Running, asked, now time.Time) {
-	r := t.runs[seen.Run]
+func (m *Machine) runReported(t *target, reported order.Running, asked, now time.Time) {
+	r := t.runs[reported.Run]
 	if r == nil {
-		r = m.adopt(t, seen, now)
+		r = m.adopt(t, reported, now)
 	}
 	if r.phase == starting || r.phase == unconfirmed {
 		m.runBegan(r, now)
@@ -266,28 +266,28 @@
 	if s := r.task.step; r.phase == running && s.spec.Gang && r.task.done && asked.After(s.doneAt) {
 		m.stop(r, "its gang has ended", now)
 	}
-	if r.phase == running && seen.Checkpoint != "" {
-		r.checkpoint = seen.Checkpoint
-		r.task.saveCheckpoint(seen.Checkpoint)
+	if r.phase == running && reported.Checkpoint != "" {
+		r.checkpoint = reported.Checkpoint
+		r.task.saveCheckpoint(reported.Checkpoint)
 	}
-	r.gauge = seen.Gauge
-	r.updateProgress(seen.Percent, now)
+	r.gauge = reported.Gauge
+	r.updateProgress(reported.Percent, now)
 }
 
 // adopt takes over a run that was not started in this term, or whose life was
 // believed over. It is stopped if it must not go on: its job is not known or
 // over, its task is done or runs elsewhere.
-func (m *Machine) adopt(t *target, seen order.Running, now time.Time) *run {
-	r := &run{Run: seen.Run, target: t, phase: running, placedAt: now, beganAt: now, orderAnsweredAt: now}
-	j := m.jobs[seen.Run.Task.Job]
+func (m *Machine) adopt(t *target, reported order.Running, now time.Time) *run {
+	r := &run{Run: reported.Run, target: t, phase: running, placedAt: now, beganAt: now, orderAnsweredAt: now}
+	j := m.jobs[reported.Run.Task.Job]
 	var x *task
 	if j != nil {
-		x = j.findTask(seen.Run.Task)
+		x = j.findTask(reported.Run.Task)
 	}
 	reason := ""
 	switch {
 	case x == nil:
-		x = &task{step: unknownStep(seen.Run), index: seen.Run.Task.Index}
+		x = &task{step: unknownStep(reported.Run), index: reported.Run.Task.Index}
 		reason = "its job is not known"
 	case j.finished():
 		reason = "its job has ended"
@@ -300,16 +300,16 @@
 	}
 	r.task = x
 	r.charge, r.paceShare = x.step.spec.Charge(), initialShare(x.step)
-	if j == nil || j.findTask(seen.Run.Task) == nil {
+	if j == nil || j.findTask(reported.Run.Task) == nil {
 		r.charge = t.Capacity.Minus(t.used) // not known what it takes: no other work beside it
 	}
-	x.highestRun = max(x.highestRun, seen.Run.Number)
-	x.step.gangRun = max(x.step.gangRun, seen.Run.Number)
+	x.highestRun = max(x.highestRun, reported.Run.Number)
+	x.step.gangRun = max(x.step.gangRun, reported.Run.Number)
 	x.runs = append(x.runs, r)
 	x.step.job.liveRuns[r] = true
 	t.runs[r.Run] = r
 	t.used = t.used.Plus(r.charge)
-	m.log.Decided("run found", "target", t.ID, "task", seen.Run.Task, "run", seen.Run.Number, "stop", reason)
+	m.log.Decided("run found", "target", t.ID, "task", reported.Run.Task, "run", reported.Run.Number, "stop", reason)
 	if reason != "" {
 		m.stop(r, reason, now)
 		return r
--- a/internal/work/dispatch/evacuation.go
+++ b/internal/work/dispatch/evacuation.go
@@ -32,7 +32,7 @@
 
 func (m *Machine) evacuate(zone string, now time.Time) {
 	targets, runs, unsent := 0, 0, 0
-	for _, t := range m.targetsByID {
+	for _, t := range m.sortedTargets {
 		if t.Zone != zone {
 			continue
 		}
@@ -52,7 +52,7 @@
 
 func (m *Machine) restoreZone(zone string) {
 	targets := 0
-	for _, t := range m.targetsByID {
+	for _, t := range m.sortedTargets {
 		if t.Zone == zone {
 			t.evacuated = false
 			targets++
@@ -62,10 +62,10 @@
 }
 
 // dropUnsent gives up a run whose start was not sent, and with it its gang.
-func (m *Machine) dropUnsent(r *run, why string, now time.Time) {
-	m.log.Decided("run given up before it was sent", "target", r.target.ID, "task", r.Task, "run", r.Number, "reason", why)
+func (m *Machine) dropUnsent(r *run, reason string, now time.Time) {
+	m.log.Decided("run given up before it was sent", "target", r.target.ID, "task", r.Task, "run", r.Number, "reason", reason)
 	m.release(r, now)
-	m.stopGang(r, "a member was given up: "+why, now)
+	m.stopGang(r, "a member was given up: "+reason, now)
 }
 
 // evacuationsAreCurrent reports whether what is known of evacuations is new enough to start
@@ -88,7 +88,7 @@
 // usableAccelerators returns the accelerators of the targets that may get work.
 func (m *Machine) usableAccelerators() int {
 	n := 0
-	for _, t := range m.targetsByID {
+	for _, t := range m.sortedTargets {
 		if t.listed && t.acceptsStarts() {
 			n += t.Capacity.Accelerators
 		}
@@ -117,10 +117,10 @@
 	guaranteed, usable := m.totalGuaranteed(), m.usableAccelerators()
 	if exceeded := guaranteed > usable; exceeded != m.guaranteesExceeded {
 		m.guaranteesExceeded = exceeded
-		what := "guarantees fit again"
+		message := "guarantees fit again"
 		if exceeded {
-			what = "guarantees exceed the room that may be used"
+			message = "guarantees exceed the room that may be used"
 		}
-		m.log.Decided(what, "guaranteed", guaranteed, "usable", usable, "evacuated", slices.Clone(m.evacuated.Zones))
+		m.log.Decided(message, "guaranteed", guaranteed, "usable", usable, "evacuated", slices.Clone(m.evacuated.Zones))
 	}
 }
--- a/internal/work/dispatch/fit.go
+++ b/internal/work/dispatch/fit.go
@@ -37,8 +37,8 @@
 	charge := s.spec.Charge()
 	var best *target
 	var bestFit fit
-	m.targetsConsidered += len(m.targetsByID)
-	for _, t := range m.targetsByID {
+	m.targetsConsidered += len(m.sortedTargets)
+	for _, t := range m.sortedTargets {
 		if !s.eligible(t, now) || x.excludes(t, now) || m.reservedForOther(t, s) || !charge.Within(t.freeCapacity()) || s.perTargetLeft(t) <= 0 {
 			continue
 		}
@@ -54,7 +54,7 @@
 type fit struct {
 	risk         int // 1 if the target is not known to be sound and this is the last attempt, 2 if it is doubted or slow, or the task avoids it
 	cold         int // 1 if the target is still slow after its start
-	far          int // 1 if its data is on another rack
+	remote       int // 1 if its data is on another rack
 	interference int // tasks there that it would disturb, or that would disturb it
 	stranded     int // accelerators that nobody could use beside it and could before
 	left         int // accelerators left free
@@ -63,7 +63,7 @@
 
 func (f fit) compare(o fit) int {
 	return cmp.Or(
-		cmp.Compare(f.risk, o.risk), cmp.Compare(f.cold, o.cold), cmp.Compare(f.far, o.far), cmp.Compare(f.interference, o.interference), cmp.Compare(f.stranded, o.stranded),
+		cmp.Compare(f.risk, o.risk), cmp.Compare(f.cold, o.cold), cmp.Compare(f.remote, o.remote), cmp.Compare(f.interference, o.interference), cmp.Compare(f.stranded, o.stranded),
 		cmp.Compare(f.left, o.left), cmp.Compare(f.cpu, o.cpu),
 	)
 }
@@ -71,8 +71,8 @@
 // fitOf returns how well a task fits a target with the room.
 func (m *Machine) fitOf(x *task, t *target, free graph.Resources, now time.Time) fit {
 	charge := x.step.spec.Charge()
-	after := free.Minus(charge)
-	f := fit{interference: t.interference(x.step), left: after.Accelerators, cpu: after.CPU, stranded: m.stranded(after) - m.stranded(free)}
+	remaining := free.Minus(charge)
+	f := fit{interference: t.interference(x.step), left: remaining.Accelerators, cpu: remaining.CPU, stranded: m.stranded(remaining) - m.stranded(free)}
 	switch {
 	case x.attempts().avoids(t) || t.health.Doubted(now) || t.health.Slow(now):
 		f.risk = 2
@@ -83,7 +83,7 @@
 		f.cold = 1
 	}
 	if rack := x.step.spec.DataRack; rack != "" && t.Rack != rack {
-		f.far = 1
+		f.remote = 1
 	}
 	return f
 }
--- a/internal/work/dispatch/fit_test.go
+++ b/internal/work/dispatch/fit_test.go
@@ -21,7 +21,7 @@
 	d.submit(1, 8*time.Second, large(4, 1))
 	d.run(100 * time.Millisecond)
 	most := 0
-	for _, x := range d.m.targetsByID {
+	for _, x := range d.m.sortedTargets {
 		n := 0
 		for r := range x.runs {
 			if d.m.jobs[r.Task.Job].spec.Priority == 1 {
@@ -48,7 +48,7 @@
 		d.run(50 * time.Millisecond)
 	}
 	empty := 0
-	for _, x := range d.m.targetsByID {
+	for _, x := range d.m.sortedTargets {
 		if len(x.runs) == 0 {
 			empty++
 		}
@@ -76,7 +76,7 @@
 	s.DataRack = "r1-1"
 	d.submit(2, 2*time.Second, s)
 	d.run(100 * time.Millisecond)
-	for _, x := range d.m.targetsByID {
+	for _, x := range d.m.sortedTargets {
 		if x.Rack != "r1-1" {
 			is.Equal(len(x.runs), 0)
 		}
--- a/internal/work/dispatch/gang.go
+++ b/internal/work/dispatch/gang.go
@@ -36,21 +36,21 @@
 
 // targetSet is a set of targets that could hold a gang.
 type targetSet struct {
-	targets []*target
-	far     int // how often the gang runs slower there by the far factor: 0 to 2
+	targets  []*target
+	distance int // how often the gang runs slower there by the far factor: 0 to 2
 }
 
 // targetSets returns the sets of targets that could hold the whole gang if they were
 // empty, those first on which it runs fastest. A gang that wants one rack still
 // may run over several, and one whose data is on a rack on another, only slower.
 func (m *Machine) targetSets(s *step, now time.Time) []targetSet {
-	m.targetsConsidered += len(m.targetsByID)
+	m.targetsConsidered += len(m.sortedTargets)
 	var all []*target
 	var list []targetSet
 	for _, rack := range m.racksInOrder() {
 		c := targetSet{}
 		if s.spec.DataRack != "" && rack[0].Rack != s.spec.DataRack {
-			c.far++
+			c.distance++
 		}
 		for _, t := range rack {
 			if s.eligible(t, now) && !s.tasks[0].excludes(t, now) {
@@ -65,15 +65,15 @@
 	if !s.spec.SameRack && s.spec.DataRack == "" {
 		return []targetSet{{targets: all}}
 	}
-	everywhere := targetSet{targets: all}
+	allTargets := targetSet{targets: all}
 	if s.spec.DataRack != "" {
-		everywhere.far++
+		allTargets.distance++
 	}
 	if s.spec.SameRack {
-		everywhere.far++
+		allTargets.distance++
 	}
-	list = append(list, everywhere)
-	slices.SortStableFunc(list, func(a, b targetSet) int { return cmp.Compare(a.far, b.far) })
+	list = append(list, allTargets)
+	slices.SortStableFunc(list, func(a, b targetSet) int { return cmp.Compare(a.distance, b.distance) })
 	return list
 }
 
@@ -82,7 +82,7 @@
 	if m.racks != nil {
 		return m.racks
 	}
-	inOrder := slices.Clone(m.targetsByID)
+	inOrder := slices.Clone(m.sortedTargets)
 	slices.SortStableFunc(inOrder, func(a, b *target) int { return strings.Compare(a.Rack, b.Rack) })
 	for first, i := 0, 1; i <= len(inOrder); i++ {
 		if i == len(inOrder) || inOrder[i].Rack != inOrder[first].Rack {
@@ -133,14 +133,14 @@
 		m.reserve(s, s.reservation)
 		return nil
 	}
-	before := m.targetsConsidered
+	consideredBefore := m.targetsConsidered
 	sets := m.targetSets(s, now)
 	for first := 0; first < len(sets); {
 		last := first
-		for last < len(sets) && sets[last].far == sets[first].far {
+		for last < len(sets) && sets[last].distance == sets[first].distance {
 			last++
 		}
-		if plan := m.planOn(s, sets[first:last], unplaceable, preempt, now); plan != nil {
+		if plan := m.planOnSets(s, sets[first:last], unplaceable, preempt, now); plan != nil {
 			return plan
 		}
 		if !slower {
@@ -150,17 +150,17 @@
 	}
 	m.pass.recordUnplaceable(s, slower)
 	if preempt {
-		s.nextPreemptionAt = now.Add(min(time.Duration(m.targetsConsidered-before)*preemptionPausePerTarget, maxPreemptionPause))
+		s.nextPreemptionAt = now.Add(min(time.Duration(m.targetsConsidered-consideredBefore)*preemptionPausePerTarget, maxPreemptionPause))
 	} else {
 		m.reserve(s, s.reservation)
 	}
 	return nil
 }
 
-// planOn plans a gang on one of the sets: the one that is left with the least
+// planOnSets plans a gang on one of the sets: the one that is left with the least
 // room or, if none has room and some may be cleared, the one that is cleared at the
 // least cost. full tells that none has room.
-func (m *Machine) planOn(s *step, sets []targetSet, unplaceable, preempt bool, now time.Time) []*target {
+func (m *Machine) planOnSets(s *step, sets []targetSet, unplaceable, preempt bool, now time.Time) []*target {
 	var best []*target
 	bestLeft := 0
 	for _, c := range sets {
@@ -208,8 +208,8 @@
 func (p *pass) isUnplaceable(s *step, slower bool) bool {
 	for _, n := range p.unplaceable {
 		o := n.step
-		alike := o.job.spec.Service == s.job.spec.Service && o.spec.Label == s.spec.Label && o.spec.DataRack == s.spec.DataRack && o.spec.SameRack == s.spec.SameRack
-		if alike && (n.slower || !slower) && len(o.tasks) <= len(s.tasks) && o.spec.Charge().Within(s.spec.Charge()) {
+		similar := o.job.spec.Service == s.job.spec.Service && o.spec.Label == s.spec.Label && o.spec.DataRack == s.spec.DataRack && o.spec.SameRack == s.spec.SameRack
+		if similar && (n.slower || !slower) && len(o.tasks) <= len(s.tasks) && o.spec.Charge().Within(s.spec.Charge()) {
 			return true
 		}
 	}
@@ -256,14 +256,14 @@
 // recordIfFits records runs that were just placed if the room for all of them is
 // free now; else they wait for it.
 func (m *Machine) recordIfFits(runs []*run) {
-	if fitTogether(runs) {
+	if allFit(runs) {
 		m.record(runs)
 	}
 }
 
-// fitTogether reports whether what may exist on the runs' targets leaves room
+// allFit reports whether what may exist on the runs' targets leaves room
 // for all of them.
-func fitTogether(runs []*run) bool {
+func allFit(runs []*run) bool {
 	need := map[*target]graph.Resources{}
 	for _, r := range runs {
 		need[r.target] = need[r.target].Plus(r.charge)
@@ -290,7 +290,7 @@
 			for _, r := range group {
 				m.release(r, now)
 			}
-		case fitTogether(group):
+		case allFit(group):
 			m.record(group)
 		}
 	}
@@ -304,14 +304,14 @@
 func (m *Machine) waitingGroups() [][]*run {
 	m.waitingRuns = slices.DeleteFunc(m.waitingRuns, func(r *run) bool { return !r.isWaiting() })
 	var groups [][]*run
-	gangs := map[*step]int{}
+	groupOf := map[*step]int{}
 	for _, r := range m.waitingRuns {
 		s := r.task.step
-		if at, ok := gangs[s]; ok && s.spec.Gang {
+		if at, ok := groupOf[s]; ok && s.spec.Gang {
 			groups[at] = append(groups[at], r)
 			continue
 		}
-		gangs[s] = len(groups)
+		groupOf[s] = len(groups)
 		groups = append(groups, []*run{r})
 	}
 	return groups
--- a/internal/work/dispatch/health.go
+++ b/internal/work/dispatch/health.go
@@ -81,8 +81,8 @@
 func (s *step) implicatesTargets() bool { return len(s.failedTargets) <= maxFailedTargets }
 
 // logIfQuarantined tells of a target that was condemned by a sign that was just taken in.
-func (m *Machine) logIfQuarantined(t *target, was bool, why string, id graph.TaskID, now time.Time) {
-	if !was && t.health.Condemned(now) {
-		m.log.Decided("target condemned", "target", t.ID, "reason", why, "task", id, "runs", len(t.runs))
+func (m *Machine) logIfQuarantined(t *target, wasQuarantined bool, reason string, id graph.TaskID, now time.Time) {
+	if !wasQuarantined && t.health.Condemned(now) {
+		m.log.Decided("target condemned", "target", t.ID, "reason", reason, "task", id, "runs", len(t.runs))
 	}
 }
--- a/internal/work/dispatch/health_test.go
+++ b/internal/work/dispatch/health_test.go
@@ -12,7 +12,7 @@
 
 // setFailingTargets has every sixth target fail all that it starts from now on, or end it.
 func (d *simulation) setFailingTargets(on bool) {
-	for i, t := range d.m.targetsByID {
+	for i, t := range d.m.sortedTargets {
 		if i%6 == 0 {
 			d.p.FailAll(t.ID, on)
 		}
@@ -79,7 +79,7 @@
 		d.submit(2, time.Duration(2000+200*i)*time.Millisecond, small(1))
 	}
 	d.run(1500 * time.Millisecond)
-	bad := d.m.targetsByID[0]
+	bad := d.m.sortedTargets[0]
 	is.Equal(len(bad.runs), 4)
 	d.p.FailAll(bad.ID, true)
 	d.submit(2, 5*time.Second, small(12)) // four fail there
@@ -98,7 +98,7 @@
 func TestProbationAllowsOneRun(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 1, DefaultBounds())
-	only := d.m.targetsByID[0]
+	only := d.m.sortedTargets[0]
 	d.p.FailAll(only.ID, true)
 	d.submit(2, 2*time.Second, small(1))
 	d.run(200 * time.Millisecond)
@@ -121,12 +121,12 @@
 	d := newSimulation(t, 2, 6, DefaultBounds())
 	id := d.submit(2, 10*time.Millisecond, small(40))
 	d.m.jobs[id].spec.MaxAttempts = 9
-	for _, x := range d.m.targetsByID {
+	for _, x := range d.m.sortedTargets {
 		d.p.FailAll(x.ID, true)
 	}
 	d.run(2 * time.Second)
 	quarantined := 0
-	for _, x := range d.m.targetsByID {
+	for _, x := range d.m.sortedTargets {
 		if x.health.Condemned(d.now) {
 			quarantined++
 		}
@@ -140,10 +140,10 @@
 func TestTaskDoesNotReturnToFailingTarget(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
-	bad := d.m.targetsByID[0]
+	bad := d.m.sortedTargets[0]
 	d.submit(2, 8*time.Second, small(8))
 	d.run(500 * time.Millisecond)
-	for _, x := range d.m.targetsByID {
+	for _, x := range d.m.sortedTargets {
 		if len(x.runs) == 0 {
 			bad = x
 		}
@@ -165,7 +165,7 @@
 func TestLastAttemptPrefersProvenTarget(t *testing.T) {
 	is := is.New(t)
 	d, x := newLastAttempt(t)
-	proven := d.m.targetsByID[2]
+	proven := d.m.sortedTargets[2]
 	proven.health.Succeeded(d.now.Add(-time.Second), d.now)
 	d.run(time.Second)
 	is.Equal(len(x.runs), 0)
@@ -182,7 +182,7 @@
 	is := is.New(t)
 	d, x := newLastAttempt(t)
 	d.run(500 * time.Millisecond)
-	proven := d.m.targetsByID[2]
+	proven := d.m.sortedTargets[2]
 	proven.health.Succeeded(d.now.Add(-300*time.Millisecond), d.now)
 	d.run(200 * time.Millisecond)
 	is.Equal(len(x.runs), 1)
@@ -198,7 +198,7 @@
 	d := newSimulation(t, 1, 3, DefaultBounds())
 	d.submit(2, 9*time.Second, small(5)) // on the target that fits best from then on
 	d.run(5 * time.Second)
-	old := d.m.targetsByID[0]
+	old := d.m.sortedTargets[0]
 	is.Equal(len(old.runs), 5)
 	d.p.FailAll(old.ID, true)
 	id := d.submit(2, time.Second, small(1))
--- a/internal/work/dispatch/job.go
+++ b/internal/work/dispatch/job.go
@@ -124,11 +124,11 @@
 // findTask returns the task, or nil if the job has no such task or the occurrence
 // is not open.
 func (j *job) findTask(id graph.TaskID) *task {
-	per := len(j.spec.Steps)
-	if id.Occurrence >= j.opened || id.Step >= per {
+	stepsPerOccurrence := len(j.spec.Steps)
+	if id.Occurrence >= j.opened || id.Step >= stepsPerOccurrence {
 		return nil
 	}
-	s := j.steps[id.Occurrence*per+id.Step]
+	s := j.steps[id.Occurrence*stepsPerOccurrence+id.Step]
 	if id.Index >= len(s.tasks) {
 		return nil
 	}
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -19,7 +19,7 @@
 	log                Log
 	wallOffset         time.Duration // time of day minus the steady time that is passed in
 	targets            map[string]*target
-	targetsByID        []*target   // by id, so that decisions do not depend on map order
+	sortedTargets      []*target   // by id, so that decisions do not depend on map order
 	racks              [][]*target // the same by rack; nil: to be put together anew
 	jobs               map[graph.JobID]*job
 	recurring          []*job  // in the order in which they came
@@ -115,7 +115,7 @@
 // predecessorLeasesEnd: by then all leases have lapsed that it can have granted.
 func (m *Machine) EnablePlacement(predecessorLeasesEnd, now time.Time) {
 	m.placementEnabled, m.placementEnabledAt, m.placementDue = true, now, true
-	for _, t := range m.targetsByID {
+	for _, t := range m.sortedTargets {
 		if t.reach == notPolled {
 			t.leaseEnd = predecessorLeasesEnd
 		}
@@ -125,17 +125,17 @@
 // Tick does what is due.
 func (m *Machine) Tick(now time.Time) {
 	m.openRecurring(now)
-	for _, t := range slices.Clone(m.targetsByID) {
+	for _, t := range slices.Clone(m.sortedTargets) {
 		t.updateWarmUp(now)
 		m.tickTarget(t, now)
 		if t.removable() {
 			delete(m.targets, t.ID)
-			m.targetsByID = removeFrom(m.targetsByID, t)
+			m.sortedTargets = removeFrom(m.sortedTargets, t)
 			m.racks = nil
 		}
 	}
 	m.checkZonesReachable(now)
-	for _, t := range m.targetsByID {
+	for _, t := range m.sortedTargets {
 		m.considerPoll(t)
 	}
 	m.forgetEnded(now)
@@ -150,7 +150,7 @@
 		present[list[i].ID] = true
 		m.updateTarget(list[i], now)
 	}
-	for _, t := range m.targetsByID {
+	for _, t := range m.sortedTargets {
 		if t.listed && !present[t.ID] {
 			t.listed = false
 			m.log.Decided("target left the list", "target", t.ID, "runs", len(t.runs))
@@ -192,8 +192,8 @@
 func (m *Machine) addTarget(l roster.Target) *target {
 	t := &target{Target: l, runs: map[order.Run]*run{}}
 	m.targets[l.ID] = t
-	at, _ := slices.BinarySearchFunc(m.targetsByID, t, func(a, b *target) int { return strings.Compare(a.ID, b.ID) })
-	m.targetsByID = slices.Insert(m.targetsByID, at, t)
+	at, _ := slices.BinarySearchFunc(m.sortedTargets, t, func(a, b *target) int { return strings.Compare(a.ID, b.ID) })
+	m.sortedTargets = slices.Insert(m.sortedTargets, at, t)
 	m.racks = nil
 	return t
 }
--- a/internal/work/dispatch/orders.go
+++ b/internal/work/dispatch/orders.go
@@ -87,7 +87,7 @@
 
 // StartAnswered takes in what became of a start; err is nil or wraps one of
 // package order's errors.
-func (m *Machine) StartAnswered(target string, what order.Run, clock int64, err error, now time.Time) {
+func (m *Machine) StartAnswered(target string, id order.Run, clock int64, err error, now time.Time) {
 	t := m.targets[target]
 	if t == nil {
 		return
@@ -100,7 +100,7 @@
 	if isAnswer(err) {
 		m.targetAnswered(t, now)
 	}
-	r := t.runs[what]
+	r := t.runs[id]
 	if r == nil {
 		return
 	}
@@ -172,7 +172,7 @@
 )
 
 // stopGang stops the other members of the gang to which a run belongs.
-func (m *Machine) stopGang(r *run, why string, now time.Time) {
+func (m *Machine) stopGang(r *run, reason string, now time.Time) {
 	s := r.task.step
 	if !s.spec.Gang || s.job.liveRuns == nil {
 		return
@@ -180,7 +180,7 @@
 	for _, x := range s.tasks {
 		for _, o := range append([]*run(nil), x.runs...) {
 			if o != r && o.Number == r.Number {
-				m.stop(o, why, now)
+				m.stop(o, reason, now)
 			}
 		}
 	}
@@ -193,7 +193,7 @@
 
 // stop ends a run: one that was not sent at once, another by an order that is
 // repeated until it is answered.
-func (m *Machine) stop(r *run, why string, now time.Time) {
+func (m *Machine) stop(r *run, reason string, now time.Time) {
 	switch r.phase {
 	case stopping:
 		return
@@ -201,7 +201,7 @@
 		m.release(r, now)
 		return
 	}
-	m.log.Decided("stop run", "target", r.target.ID, "task", r.Task, "run", r.Number, "reason", why)
+	m.log.Decided("stop run", "target", r.target.ID, "task", r.Task, "run", r.Number, "reason", reason)
 	r.phase = stopping
 	r.orderAnsweredAt = time.Time{}
 	m.sendStop(r, now)
@@ -223,15 +223,15 @@
 
 // class returns the class in which an order to the target waits for its turn, which
 // is the usual one if it answers.
-func (t *target) class(usual limiter.Class) limiter.Class {
+func (t *target) class(normal limiter.Class) limiter.Class {
 	if t.responsive() && t.reach != unreachable {
-		return usual
+		return normal
 	}
 	return limiter.Probe
 }
 
 // StopAnswered takes in what became of a stop.
-func (m *Machine) StopAnswered(target string, what order.Run, clock int64, err error, now time.Time) {
+func (m *Machine) StopAnswered(target string, id order.Run, clock int64, err error, now time.Time) {
 	t := m.targets[target]
 	if t == nil {
 		return
@@ -248,7 +248,7 @@
 	if isAnswer(err) {
 		m.targetAnswered(t, now)
 	}
-	if r := t.runs[what]; r != nil {
+	if r := t.runs[id]; r != nil {
 		r.orderPending = false
 		switch {
 		case err == nil:
--- a/internal/work/dispatch/pacing.go
+++ b/internal/work/dispatch/pacing.go
@@ -41,7 +41,7 @@
 
 // pace steers the filling runs of a target by what it just reported.
 func (m *Machine) pace(t *target, now time.Time) {
-	strain, serves := t.tailRatio()
+	ratio, serves := t.tailRatio()
 	if !serves || now.Before(t.pacedAt.Add(pacePause)) {
 		return
 	}
@@ -49,24 +49,24 @@
 		if r.phase != running || !r.task.step.spec.Filling {
 			continue
 		}
-		if want := nextShare(r.paceShare, strain); want != r.paceShare {
-			m.log.Decided("pace", "target", t.ID, "task", r.Task, "run", r.Number, "from", r.paceShare, "to", want, "strain", strain)
-			r.paceShare = want
+		if share := nextShare(r.paceShare, ratio); share != r.paceShare {
+			m.log.Decided("pace", "target", t.ID, "task", r.Task, "run", r.Number, "from", r.paceShare, "to", share, "strain", ratio)
+			r.paceShare = share
 			t.pacedAt = now
-			m.commands = append(m.commands, Pace{Target: t.address(), Run: r.Run, Percent: want})
+			m.commands = append(m.commands, Pace{Target: t.address(), Run: r.Run, Percent: share})
 		}
 	}
 }
 
 // nextShare returns the share at which a filling run works next: much less when the
 // tail nears its limit, none when it is over it, a little more when there is room.
-func nextShare(share int, strain float64) int {
+func nextShare(share int, ratio float64) int {
 	switch {
-	case strain >= 1:
+	case ratio >= 1:
 		return 0
-	case strain >= slowDownAbove:
+	case ratio >= slowDownAbove:
 		return share / 2
-	case strain < speedUpBelow:
+	case ratio < speedUpBelow:
 		return min(share+paceStep, 100)
 	}
 	return share
@@ -98,13 +98,13 @@
 
 // PaceAnswered takes in what became of an order to pace. One that was not carried
 // out is given again with the next report.
-func (m *Machine) PaceAnswered(target string, what order.Run, clock int64, err error, now time.Time) {
+func (m *Machine) PaceAnswered(target string, id order.Run, clock int64, err error, now time.Time) {
 	t := m.targets[target]
 	if t == nil {
 		return
 	}
 	t.updateClock(clock, now)
-	if r := t.runs[what]; r != nil && err != nil {
+	if r := t.runs[id]; r != nil && err != nil {
 		r.paceShare = 100
 		t.pacedAt = time.Time{}
 	}
--- a/internal/work/dispatch/pacing_test.go
+++ b/internal/work/dispatch/pacing_test.go
@@ -82,13 +82,13 @@
 	s.Lasting, s.MaxUnavailable, s.PerTarget = true, 1, 3
 	id := d.submit(2, time.Hour, s)
 	d.run(time.Second)
-	for _, x := range d.m.targetsByID { // the stand-in's lasting tasks serve at once
+	for _, x := range d.m.sortedTargets { // the stand-in's lasting tasks serve at once
 		for _, r := range x.runs {
 			r.percent = 100
 		}
 	}
 	is.Equal(d.m.jobs[id].steps[0].unavailable(), 0)
-	leaving := d.m.targetsByID[0]
+	leaving := d.m.sortedTargets[0]
 	before := len(leaving.runs)
 	is.True(before >= 2)
 	leaving.Draining = true
--- a/internal/work/dispatch/poll.go
+++ b/internal/work/dispatch/poll.go
@@ -69,7 +69,7 @@
 // waited for until their time-outs, with all that has ended there. A new leader's first
 // holds are on their way to all targets; those are not to be asked twice.
 func (m *Machine) pollZone(zone string, now time.Time) {
-	for _, t := range m.targetsByID {
+	for _, t := range m.sortedTargets {
 		if t.Zone == zone && t.reach != reachable && !t.responsive() && t.pollPending && !t.extraPollPending && now.Sub(t.extraPollSentAt) >= extraPollInterval {
 			m.sendExtraPoll(t, now)
 		}
@@ -139,18 +139,18 @@
 }
 
 // Polled takes in a target's report.
-func (m *Machine) Polled(id string, h Poll, rep order.Report, now time.Time) {
+func (m *Machine) Polled(id string, p Poll, rep order.Report, now time.Time) {
 	t := m.targets[id]
 	if t == nil {
 		return
 	}
-	t.pollAnswered(h)
+	t.pollAnswered(p)
 	m.considerPoll(t)
 	t.reportedAt = now
 	wasUnresponsive := !t.responsive()
 	m.targetAnswered(t, now)
 	t.updateClock(rep.Clock, now)
-	t.confirmedAck = max(t.confirmedAck, h.Order.Acked)
+	t.confirmedAck = max(t.confirmedAck, p.Order.Acked)
 	if t.reach != reachable {
 		m.log.Decided("target reports", "target", t.ID, "running", len(rep.Running), "ended", len(rep.Ended), "first", !t.reported)
 		t.reach = reachable
@@ -168,28 +168,28 @@
 	}
 	for _, r := range rep.Running {
 		listed[r.Run] = true
-		m.runReported(t, r, h.Sent, now)
+		m.runReported(t, r, p.Sent, now)
 	}
 	m.checkProgress(t, now)
 	m.pace(t, now)
 	m.moveLasting(t, now)
 	if len(rep.Ended) < maxListedEnds {
-		m.releaseMissing(t, listed, h.Sent, now)
+		m.releaseMissing(t, listed, p.Sent, now)
 	}
 	t.reported = true
 	t.advanceAcked(now)
 	if len(t.unackedEnds) > 0 {
 		t.unsavedPollAt = now.Add(unsavedPause)
 	}
-	if len(rep.Running) > 0 && h.Order.Deadline == 0 && !t.pollPending {
+	if len(rep.Running) > 0 && p.Order.Deadline == 0 && !t.pollPending {
 		m.sendPoll(t, 0, now) // its clock was not known: renew the lease at once
 	}
 	m.placementDue = true
 }
 
 // pollAnswered notes that a hold is no longer outstanding.
-func (t *target) pollAnswered(h Poll) {
-	if h.Extra {
+func (t *target) pollAnswered(p Poll) {
+	if p.Extra {
 		t.extraPollPending = false
 	} else {
 		t.pollPending = false
@@ -215,12 +215,12 @@
 }
 
 // PollFailed takes in that a target did not report.
-func (m *Machine) PollFailed(id string, h Poll, err error, now time.Time) {
+func (m *Machine) PollFailed(id string, p Poll, err error, now time.Time) {
 	t := m.targets[id]
 	if t == nil {
 		return
 	}
-	t.pollAnswered(h)
+	t.pollAnswered(p)
 	m.considerPoll(t)
 	switch {
 	case errors.Is(err, order.ErrFenced):
@@ -228,10 +228,10 @@
 		return
 	case errors.Is(err, order.ErrOtherLife):
 		m.incarnationEnded(t, now)
-	case t.reportedAt.After(h.Sent):
+	case t.reportedAt.After(p.Sent):
 		// It answered another one since: only this one was lost.
 	default:
-		m.targetMissed(t, h.missedSince(now), now)
+		m.targetMissed(t, p.missedSince(now), now)
 		m.markUnreachable(t, err, now)
 	}
 	m.placementDue = true
@@ -264,7 +264,7 @@
 	m.releaseAll(t, now)
 	t.listed = false
 	delete(m.targets, t.ID)
-	m.targetsByID = removeFrom(m.targetsByID, t)
+	m.sortedTargets = removeFrom(m.sortedTargets, t)
 	m.racks = nil
 }
 
--- a/internal/work/dispatch/preemption.go
+++ b/internal/work/dispatch/preemption.go
@@ -14,15 +14,15 @@
 // none can be cleared.
 func (m *Machine) preemptFor(x *task, now time.Time) *target {
 	s := x.step
-	c := m.newPreemptionPlan(s, now)
+	plan := m.newPreemptionPlan(s, now)
 	var best *target
 	var bestOption preemptionOption
-	m.targetsConsidered += len(m.targetsByID)
-	for _, t := range m.targetsByID {
+	m.targetsConsidered += len(m.sortedTargets)
+	for _, t := range m.sortedTargets {
 		if !s.eligible(t, now) || m.reservedForOther(t, s) || x.attempts().avoids(t) {
 			continue
 		}
-		if o := c.optionOn(t); o.ok && (best == nil || o.cost < bestOption.cost) {
+		if o := plan.optionOn(t); o.ok && (best == nil || o.cost < bestOption.cost) {
 			best, bestOption = t, o
 		}
 	}
@@ -33,8 +33,8 @@
 		m.reserve(s, []*target{best})
 		return nil
 	}
-	c.addTask(best, bestOption)
-	m.stopVictims(c, now)
+	plan.addTask(best, bestOption)
+	m.stopVictims(plan, now)
 	return best
 }
 
@@ -105,15 +105,15 @@
 
 // fillSet plans all tasks of the step on a set, each where it costs least. It gives up
 // as soon as that costs too much: most sets are no better than the best so far.
-func (c *preemptionPlan) fillSet(set []*target) bool {
-	if !c.canFit(set) {
+func (p *preemptionPlan) fillSet(set []*target) bool {
+	if !p.canFit(set) {
 		return false
 	}
 	options := make([]preemptionOption, len(set))
 	for i, t := range set {
-		options[i] = c.optionOn(t)
+		options[i] = p.optionOn(t)
 	}
-	for range c.step.tasks {
+	for range p.step.tasks {
 		best := -1
 		for i := range options {
 			if options[i].ok && (best < 0 || options[i].cost < options[best].cost) {
@@ -123,13 +123,13 @@
 		if best < 0 {
 			return false
 		}
-		if c.cost+options[best].cost >= c.maxCost {
+		if p.cost+options[best].cost >= p.maxCost {
 			return false
 		}
-		stopsGang := c.addTask(set[best], options[best])
+		stopsGang := p.addTask(set[best], options[best])
 		for i, t := range set {
 			if i == best || stopsGang {
-				options[i] = c.optionOn(t)
+				options[i] = p.optionOn(t)
 			}
 		}
 	}
@@ -137,29 +137,29 @@
 }
 
 // canFit reports whether the tasks fit if all that may be stopped is.
-func (c *preemptionPlan) canFit(set []*target) bool {
+func (p *preemptionPlan) canFit(set []*target) bool {
 	n := 0
 	for _, t := range set {
-		n += min(tasksThatFit(c.charge, c.m.preemptibleCapacity(t, c.now)), max(c.step.perTargetLeft(t), 0))
-		if n >= len(c.step.tasks) {
+		n += min(tasksThatFit(p.charge, p.m.preemptibleCapacity(t, p.now)), max(p.step.perTargetLeft(t), 0))
+		if n >= len(p.step.tasks) {
 			break
 		}
 	}
-	c.m.targetsConsidered += len(set)
-	return n >= len(c.step.tasks)
+	p.m.targetsConsidered += len(set)
+	return n >= len(p.step.tasks)
 }
 
 // preemptibleCapacity returns the room on a target if all that may be stopped there is.
 func (m *Machine) preemptibleCapacity(t *target, now time.Time) graph.Resources {
-	if room, ok := m.pass.preemptibleCapacity[t]; ok {
-		return room
+	if capacity, ok := m.pass.preemptibleCapacity[t]; ok {
+		return capacity
 	}
-	room := t.freeAfterStops()
+	free := t.freeAfterStops()
 	for _, v := range m.victimsOn(t, now) {
-		room = room.Plus(v.run.charge)
+		free = free.Plus(v.run.charge)
 	}
-	m.pass.preemptibleCapacity[t] = room
-	return room
+	m.pass.preemptibleCapacity[t] = free
+	return free
 }
 
 // freeAfterStops returns the room on a target once the runs that are being stopped
@@ -176,8 +176,8 @@
 
 // free returns the room on a target under the plan, once the runs that are
 // being stopped there have ended.
-func (c *preemptionPlan) free(t *target) graph.Resources {
-	if r, ok := c.freeOn[t]; ok {
+func (p *preemptionPlan) free(t *target) graph.Resources {
+	if r, ok := p.freeOn[t]; ok {
 		return r
 	}
 	return t.freeAfterStops()
@@ -192,34 +192,34 @@
 
 // optionOn returns the runs to stop on a target so that one more task fits: the
 // cheapest first, without those that turn out not to be needed.
-func (c *preemptionPlan) optionOn(t *target) preemptionOption {
-	c.m.targetsConsidered++
-	if c.step.perTargetLeft(t)-c.planned[t] <= 0 {
+func (p *preemptionPlan) optionOn(t *target) preemptionOption {
+	p.m.targetsConsidered++
+	if p.step.perTargetLeft(t)-p.planned[t] <= 0 {
 		return preemptionOption{}
 	}
-	free := c.free(t)
-	if c.charge.Within(free) {
+	free := p.free(t)
+	if p.charge.Within(free) {
 		return preemptionOption{ok: true}
 	}
 	var list []victim
-	for _, v := range c.m.victimsOn(t, c.now) {
-		if c.victims[v.run] {
+	for _, v := range p.m.victimsOn(t, p.now) {
+		if p.victims[v.run] {
 			continue
 		}
 		list = append(list, v)
 		free = free.Plus(v.run.charge)
-		if c.charge.Within(free) {
-			return c.prune(list, free)
+		if p.charge.Within(free) {
+			return p.prune(list, free)
 		}
 	}
 	return preemptionOption{}
 }
 
 // prune drops victims that are not needed, the dearest first.
-func (c *preemptionPlan) prune(list []victim, free graph.Resources) preemptionOption {
+func (p *preemptionPlan) prune(list []victim, free graph.Resources) preemptionOption {
 	o := preemptionOption{ok: true}
 	for i := len(list) - 1; i >= 0; i-- {
-		if less := free.Minus(list[i].run.charge); c.charge.Within(less) {
+		if less := free.Minus(list[i].run.charge); p.charge.Within(less) {
 			free = less
 			continue
 		}
@@ -250,55 +250,55 @@
 
 // addTask plans one more task on a target. It reports whether a gang is stopped for
 // it, which makes room elsewhere, too.
-func (c *preemptionPlan) addTask(t *target, o preemptionOption) (stopsGang bool) {
-	if c.freeOn == nil { // most plans end before anything is taken
-		c.freeOn, c.planned, c.victims = map[*target]graph.Resources{}, map[*target]int{}, map[*run]bool{}
+func (p *preemptionPlan) addTask(t *target, o preemptionOption) (stopsGang bool) {
+	if p.freeOn == nil { // most plans end before anything is taken
+		p.freeOn, p.planned, p.victims = map[*target]graph.Resources{}, map[*target]int{}, map[*run]bool{}
 	}
-	free := c.free(t)
+	free := p.free(t)
 	for _, v := range o.victims {
-		c.victims[v.run] = true
+		p.victims[v.run] = true
 		free = free.Plus(v.run.charge)
 	}
-	c.freeOn[t] = free.Minus(c.charge)
+	p.freeOn[t] = free.Minus(p.charge)
 	for _, v := range o.victims {
-		stopsGang = c.addGangMembers(v.run) || stopsGang
+		stopsGang = p.addGangMembers(v.run) || stopsGang
 	}
-	c.planned[t]++
-	c.targets = append(c.targets, t)
-	c.cost += o.cost
+	p.planned[t]++
+	p.targets = append(p.targets, t)
+	p.cost += o.cost
 	return stopsGang
 }
 
 // addGangMembers counts the other members of a victim's gang as free, too: they end
 // with it.
-func (c *preemptionPlan) addGangMembers(r *run) bool {
+func (p *preemptionPlan) addGangMembers(r *run) bool {
 	s := r.task.step
 	if !s.spec.Gang {
 		return false
 	}
 	for _, x := range s.tasks {
 		for _, o := range x.runs {
-			if c.victims[o] || o.phase == stopping {
+			if p.victims[o] || o.phase == stopping {
 				continue
 			}
-			c.victims[o] = true
-			c.freeOn[o.target] = c.free(o.target).Plus(o.charge)
+			p.victims[o] = true
+			p.freeOn[o.target] = p.free(o.target).Plus(o.charge)
 		}
 	}
 	return true
 }
 
 // stopVictims stops the runs of a plan.
-func (m *Machine) stopVictims(c *preemptionPlan, now time.Time) {
-	list := make([]*run, 0, len(c.victims))
-	for r := range c.victims {
+func (m *Machine) stopVictims(plan *preemptionPlan, now time.Time) {
+	list := make([]*run, 0, len(plan.victims))
+	for r := range plan.victims {
 		list = append(list, r)
 	}
 	slices.SortFunc(list, compareRuns)
-	size := coreEquivalents(c.step.spec.Needs) * c.step.spec.Estimate.Seconds() * float64(len(c.targets))
-	m.log.Decided("room cleared", "step", c.step.id, "runs", len(list), "lossCoreS", int(c.cost), "gainCoreS", int(size), "waitedMS", m.wallMS(now)-c.step.releaseTime())
+	size := coreEquivalents(plan.step.spec.Needs) * plan.step.spec.Estimate.Seconds() * float64(len(plan.targets))
+	m.log.Decided("room cleared", "step", plan.step.id, "runs", len(list), "lossCoreS", int(plan.cost), "gainCoreS", int(size), "waitedMS", m.wallMS(now)-plan.step.releaseTime())
 	for _, r := range list {
-		m.stop(r, "room for "+c.step.id.String(), now)
+		m.stop(r, "room for "+plan.step.id.String(), now)
 		m.pass.invalidate(r.target) // it cannot be stopped again in this pass
 	}
 }
--- a/internal/work/dispatch/query.go
+++ b/internal/work/dispatch/query.go
@@ -92,7 +92,7 @@
 		Term: m.term, Waiting: len(m.openSteps), Zones: m.zones(), Targets: []view.Target{}, Accounts: []view.Account{},
 		Guaranteed: m.totalGuaranteed(), Usable: m.usableAccelerators(),
 	}
-	for _, t := range m.targetsByID {
+	for _, t := range m.sortedTargets {
 		f.Targets = append(f.Targets, view.Target{
 			ID: t.ID, Zone: t.Zone, Rack: t.Rack, Service: t.Service, Accelerators: t.Capacity.Accelerators,
 			Cores: t.Capacity.CPU / 1000, MemoryMB: t.Capacity.MemoryMB,
@@ -119,7 +119,7 @@
 	for _, name := range m.evacuated.Zones {
 		at(name)
 	}
-	for _, t := range m.targetsByID {
+	for _, t := range m.sortedTargets {
 		if !t.listed {
 			continue
 		}
@@ -164,7 +164,7 @@
 // Counts returns what the machine holds now.
 func (m *Machine) Counts() Counts {
 	c := Counts{Jobs: len(m.jobs), Targets: len(m.targets), OpenSteps: len(m.openSteps), Evacuated: len(m.evacuated.Zones)}
-	for _, t := range m.targetsByID {
+	for _, t := range m.sortedTargets {
 		if t.reach == reachable {
 			c.Reachable++
 		}
--- a/internal/work/dispatch/reachability.go
+++ b/internal/work/dispatch/reachability.go
@@ -43,7 +43,7 @@
 // checkZonesReachable decides on the zones that may have been silent for long enough by now.
 func (m *Machine) checkZonesReachable(now time.Time) {
 	zones := map[string]bool{}
-	for _, t := range m.targetsByID {
+	for _, t := range m.sortedTargets {
 		if !t.unansweredSince.IsZero() && t.listed {
 			zones[t.Zone] = true
 		}
@@ -56,27 +56,27 @@
 // checkZoneReachable decides whether a zone seems to be cut off. What was missed before something
 // was heard of the zone tells nothing of it.
 func (m *Machine) checkZoneReachable(zone string, now time.Time) {
-	var missed []time.Time
-	var answered time.Time
-	for _, t := range m.targetsByID {
+	var unansweredSince []time.Time
+	var lastAnswerAt time.Time
+	for _, t := range m.sortedTargets {
 		if t.Zone != zone || !t.listed {
 			continue
 		}
 		if !t.unansweredSince.IsZero() {
-			missed = append(missed, t.unansweredSince)
+			unansweredSince = append(unansweredSince, t.unansweredSince)
 		}
-		if t.answeredAt.After(answered) {
-			answered = t.answeredAt
+		if t.answeredAt.After(lastAnswerAt) {
+			lastAnswerAt = t.answeredAt
 		}
 	}
 	unanswered := 0
-	for _, at := range missed {
-		if answered.Before(at) {
+	for _, at := range unansweredSince {
+		if lastAnswerAt.Before(at) {
 			unanswered++
 		}
 	}
-	unreachable := unanswered >= minUnansweredTargets && now.Sub(answered) >= minZoneSilence
-	for _, t := range m.targetsByID {
+	unreachable := unanswered >= minUnansweredTargets && now.Sub(lastAnswerAt) >= minZoneSilence
+	for _, t := range m.sortedTargets {
 		if t.Zone == zone && t.unansweredSince.IsZero() {
 			t.zoneUnreachable = unreachable // the next tick asks it
 		}
--- a/internal/work/dispatch/reachability_test.go
+++ b/internal/work/dispatch/reachability_test.go
@@ -14,7 +14,7 @@
 // disconnectZone loses what is sent to a zone's targets from now on.
 func (d *simulation) disconnectZone(zone string) {
 	disconnected := map[string]bool{}
-	for _, t := range d.m.targetsByID {
+	for _, t := range d.m.sortedTargets {
 		disconnected[t.ID] = t.Zone == zone
 	}
 	d.dropCommand = func(c Command) bool { return disconnected[targetOf(c)] }
@@ -28,7 +28,7 @@
 func TestUnreachableZoneGetsNoWork(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 3, 4, DefaultBounds())
-	zone := d.m.targetsByID[0].Zone // its rack is tried first
+	zone := d.m.sortedTargets[0].Zone // its rack is tried first
 	d.disconnectZone(zone)
 	first := d.submit(0, 2*time.Second, urgent(2, 8))
 	d.run(500 * time.Millisecond)
@@ -45,7 +45,7 @@
 	d.dropCommand = nil
 	d.run(8 * time.Second)
 	is.True(d.duration(first) > 0)
-	for _, x := range d.m.targetsByID {
+	for _, x := range d.m.sortedTargets {
 		is.True(x.responsive())
 	}
 	d.check()
@@ -58,12 +58,12 @@
 func TestBrokenPollsRevealUnreachableZone(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 3, 8, DefaultBounds())
-	zone := d.m.targetsByID[0].Zone
+	zone := d.m.sortedTargets[0].Zone
 	d.submit(2, 8*time.Second, urgent(3, 8)) // on three targets of the zone
 	d.run(1500 * time.Millisecond)
 	d.disconnectZone(zone)
 	broken := 0
-	for _, x := range d.m.targetsByID {
+	for _, x := range d.m.sortedTargets {
 		if x.Zone == zone && x.pollPending {
 			broken++
 			d.m.PollFailed(x.ID, Poll{Sent: x.pollSentAt, Order: order.Hold{Wait: maxPollWait}}, order.ErrUnanswered, d.now)
@@ -93,7 +93,7 @@
 	d.submit(2, time.Second, small(1)) // ends in the moment of the crash
 	d.run(1100 * time.Millisecond)
 	bad := map[string]bool{}
-	for _, x := range d.m.targetsByID {
+	for _, x := range d.m.sortedTargets {
 		if x.pollPending && len(x.runs) > 0 && len(bad) < 2 {
 			bad[x.ID] = true
 			d.p.Kill(x.ID, d.now)
@@ -119,12 +119,12 @@
 	d := newSimulation(t, 3, 4, DefaultBounds())
 	id := d.submit(2, 2*time.Second, small(80)) // on all targets
 	d.run(500 * time.Millisecond)
-	zone := d.m.targetsByID[0].Zone
+	zone := d.m.sortedTargets[0].Zone
 	lost := map[string]bool{}
-	for _, x := range d.m.targetsByID {
+	for _, x := range d.m.sortedTargets {
 		lost[x.ID] = x.Zone == zone
 	}
-	first := d.m.targetsByID[0].ID
+	first := d.m.sortedTargets[0].ID
 	d.dropCommand = func(c Command) bool {
 		h, poll := c.(Poll)
 		return lost[targetOf(c)] && (!poll || !h.Extra) // what was sent into the cut is lost
@@ -134,7 +134,7 @@
 	back := d.now
 	lost[first] = false
 	d.run(900 * time.Millisecond)
-	for _, x := range d.m.targetsByID {
+	for _, x := range d.m.sortedTargets {
 		if x.Zone == zone {
 			is.Equal(x.reach, reachable)
 			is.True(x.reportedAt.Sub(back) < 900*time.Millisecond)
@@ -151,11 +151,11 @@
 func TestOneUnreachableTargetDoesNotCloseZone(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 4, DefaultBounds())
-	bad := d.m.targetsByID[0].ID
+	bad := d.m.sortedTargets[0].ID
 	d.dropCommand = func(c Command) bool { return targetOf(c) == bad }
 	d.submit(2, time.Second, small(1))
 	d.run(500 * time.Millisecond)
-	is.True(!d.m.targetsByID[0].responsive())
+	is.True(!d.m.sortedTargets[0].responsive())
 	id := d.submit(0, 2*time.Second, urgent(3, 8))
 	d.run(3 * time.Second)
 	is.True(d.duration(id) > 0)
@@ -169,11 +169,11 @@
 func TestIdleTargetsArePolledWhenZoneSeemsUnreachable(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 5, DefaultBounds())
-	bad := map[string]bool{d.m.targetsByID[0].ID: true, d.m.targetsByID[1].ID: true}
+	bad := map[string]bool{d.m.sortedTargets[0].ID: true, d.m.sortedTargets[1].ID: true}
 	d.dropCommand = func(c Command) bool { return bad[targetOf(c)] }
 	d.submit(2, 6*time.Second, small(9)) // on both
 	d.run(500 * time.Millisecond)
-	is.True(!d.m.targetsByID[1].responsive())
+	is.True(!d.m.sortedTargets[1].responsive())
 	id := d.submit(0, 2*time.Second, urgent(3, 8))
 	d.run(3 * time.Second)
 	is.True(d.duration(id) > 0)
@@ -192,9 +192,9 @@
 	d.dropAnswer = func(c Command) bool { _, ok := c.(Start); return ok }
 	d.submit(2, 6*time.Second, small(1))
 	d.run(370 * time.Millisecond)
-	is.True(!d.m.targetsByID[0].responsive())
+	is.True(!d.m.sortedTargets[0].responsive())
 	d.run(150 * time.Millisecond) // before the start is sent again
-	is.True(d.m.targetsByID[0].responsive())
+	is.True(d.m.sortedTargets[0].responsive())
 	d.dropAnswer = nil
 	d.run(8 * time.Second)
 	d.check()
--- a/internal/work/dispatch/save.go
+++ b/internal/work/dispatch/save.go
@@ -135,7 +135,7 @@
 		m.startRecorded(j, now)
 	}
 	p.sending = nil
-	for _, t := range m.targetsByID {
+	for _, t := range m.sortedTargets {
 		if len(t.unackedEnds) > 0 {
 			t.advanceAcked(now)
 			m.considerPoll(t)
@@ -202,14 +202,14 @@
 
 // requeue puts the rows of the outstanding save before those that wait.
 func (m *Machine) requeue(p *part) {
-	again := p.sending
+	jobs := p.sending
 	for _, j := range p.dirty {
-		if !slices.Contains(again, j) {
-			again = append(again, j)
+		if !slices.Contains(jobs, j) {
+			jobs = append(jobs, j)
 		}
 	}
-	for _, j := range again {
+	for _, j := range jobs {
 		j.dirty = true
 	}
-	p.dirty, p.sending = again, nil
+	p.dirty, p.sending = jobs, nil
 }
--- a/internal/work/dispatch/schedule.go
+++ b/internal/work/dispatch/schedule.go
@@ -103,9 +103,9 @@
 func (m *Machine) schedule(now time.Time) {
 	m.newPass(now)
 	m.newSteps = nil
-	wall := m.wallMS(now)
+	nowMS := m.wallMS(now)
 	for _, s := range m.openSteps {
-		s.rank = s.rankAt(wall)
+		s.rank = s.rankAt(nowMS)
 	}
 	slices.SortStableFunc(m.openSteps, func(a, b *step) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.releaseTime(), b.releaseTime()))
@@ -118,7 +118,7 @@
 			s.queued = false
 			continue
 		}
-		if m.expireUnstarted(s.job, wall) {
+		if m.expireUnstarted(s.job, nowMS) {
 			s.queued = false
 			continue
 		}
@@ -144,12 +144,12 @@
 }
 
 // expireUnstarted ends a job that was to have started by now and has not.
-func (m *Machine) expireUnstarted(j *job, wall int64) bool {
-	if j.spec.StartBy == 0 || wall < j.spec.StartBy || j.started || len(j.liveRuns) > 0 {
+func (m *Machine) expireUnstarted(j *job, nowMS int64) bool {
+	if j.spec.StartBy == 0 || nowMS < j.spec.StartBy || j.started || len(j.liveRuns) > 0 {
 		return false
 	}
 	m.log.Decided("job given up before it started", "job", j.spec.ID, "startBy", j.spec.StartBy)
-	j.state, j.endedAt = progress.NotRun, wall
+	j.state, j.endedAt = progress.NotRun, nowMS
 	m.markDirty(j)
 	return true
 }
@@ -164,7 +164,7 @@
 	if now.Sub(m.placementEnabledAt) >= reportWait {
 		return false
 	}
-	return slices.ContainsFunc(m.targetsByID, func(t *target) bool { return t.listed && t.reach == notPolled })
+	return slices.ContainsFunc(m.sortedTargets, func(t *target) bool { return t.listed && t.reach == notPolled })
 }
 
 // lateFactor is how many times the objective a job may take and still earn: the
@@ -179,14 +179,14 @@
 // at which a start comes too late for something: the objective, or the last
 // moment at which the job still earns. A job whose objective has passed so makes
 // way for those that can still meet theirs.
-func (s *step) rankAt(wall int64) int64 {
+func (s *step) rankAt(nowMS int64) int64 {
 	latest, last := s.latestStartForObjective(), s.latestStartForValue()
 	switch {
-	case wall > last:
+	case nowMS > last:
 		return worthlessRank + s.releaseTime()/1000
 	case s.job.spec.Priority == 0:
 		return math.MinInt64/2 + latest
-	case wall > latest:
+	case nowMS > latest:
 		return last
 	}
 	return latest
--- a/internal/work/dispatch/straggler.go
+++ b/internal/work/dispatch/straggler.go
@@ -46,9 +46,9 @@
 // runStalled takes in that a run stands still.
 func (m *Machine) runStalled(r *run, now time.Time) {
 	since := now.Sub(r.progressedAt)
-	was := r.target.health.Condemned(now)
+	wasQuarantined := r.target.health.Condemned(now)
 	r.target.health.StoodStill(now)
-	m.logIfQuarantined(r.target, was, "a run stands still there", r.Task, now)
+	m.logIfQuarantined(r.target, wasQuarantined, "a run stands still there", r.Task, now)
 	if !r.stalled {
 		r.stalled = true
 		m.log.Decided("run stands still", "target", r.target.ID, "task", r.Task, "run", r.Number, "percent", r.percent, "sinceMS", since.Milliseconds())
@@ -93,26 +93,26 @@
 
 // speed returns the work that a run does, by its estimate, against the time that
 // it takes; 0 if it cannot be told yet.
-func (r *run) speed(far float64) float64 {
+func (r *run) speed(slowdown float64) float64 {
 	span := r.reportedAt.Sub(r.firstProgressAt)
 	if r.firstProgressAt.IsZero() || span < measureTime {
 		return 0
 	}
 	estimate := r.task.step.spec.Estimate.Seconds()
-	return float64(r.percent-r.firstPercent) / 100 * estimate * far / span.Seconds()
+	return float64(r.percent-r.firstPercent) / 100 * estimate * slowdown / span.Seconds()
 }
 
 // farFactor returns how many times longer a run takes where it is.
 func (m *Machine) farFactor(r *run, severalRacks bool) float64 {
-	far := 1.0
+	slowdown := 1.0
 	s := r.task.step.spec
 	if s.DataRack != "" && r.target.Rack != s.DataRack {
-		far *= m.bounds.FarFactor
+		slowdown *= m.bounds.FarFactor
 	}
 	if s.SameRack && severalRacks {
-		far *= m.bounds.FarFactor
+		slowdown *= m.bounds.FarFactor
 	}
-	return far
+	return slowdown
 }
 
 func (s *step) onSeveralRacks() bool {
@@ -133,23 +133,23 @@
 // far its estimate is off. Runs that would begin anew are left: they would
 // lose more than they gain.
 func (m *Machine) straggles(r *run, now time.Time) bool {
-	peers := m.speedsOf(r.task.step, now)
-	far := m.farFactor(r, peers.severalRacks)
-	speed := r.speed(far)
+	speeds := m.speedsOf(r.task.step, now)
+	slowdown := m.farFactor(r, speeds.severalRacks)
+	speed := r.speed(slowdown)
 	if speed == 0 {
 		return false
 	}
-	usual := peers.expectedSpeed(r.target)
-	r.target.health.Ran(speed/usual, now)
+	expected := speeds.expectedSpeed(r.target)
+	r.target.health.Ran(speed/expected, now)
 	if !r.target.health.Slow(now) || !r.task.step.spec.Checkpointing {
 		return false
 	}
 	estimate := r.task.step.spec.Estimate.Seconds()
-	left := 1 - float64(r.percent)/100
-	here := left * estimate * far / speed
+	remaining := 1 - float64(r.percent)/100
+	remainingHere := remaining * estimate * slowdown / speed
 	// Slowness passes, too: it is expected to last as long again.
-	here = min(here, r.target.health.SlowFor(now).Seconds()+left*estimate/usual)
-	return here > moveGain*left*estimate/usual+moveCost.Seconds()
+	remainingHere = min(remainingHere, r.target.health.SlowFor(now).Seconds()+remaining*estimate/expected)
+	return remainingHere > moveGain*remaining*estimate/expected+moveCost.Seconds()
 }
 
 // speedsMaxAge is how long what is known of a step's tasks together is used: a wide step
@@ -180,40 +180,40 @@
 	return &s.speeds
 }
 
-func (p *stepSpeeds) add(t *target, speed float64) {
+func (s *stepSpeeds) add(t *target, speed float64) {
 	switch {
-	case t == p.target:
-		p.speed = max(p.speed, speed)
-	case speed > p.speed:
-		p.target, p.speed, p.elsewhereSpeed = t, speed, p.speed
+	case t == s.target:
+		s.speed = max(s.speed, speed)
+	case speed > s.speed:
+		s.target, s.speed, s.elsewhereSpeed = t, speed, s.speed
 	default:
-		p.elsewhereSpeed = max(p.elsewhereSpeed, speed)
+		s.elsewhereSpeed = max(s.elsewhereSpeed, speed)
 	}
 }
 
 // expectedSpeed returns the speed of the fastest task on another target than the one given,
 // or 1 if none is known.
-func (p *stepSpeeds) expectedSpeed(t *target) float64 {
-	usual := p.speed
-	if p.target == t {
-		usual = p.elsewhereSpeed
+func (s *stepSpeeds) expectedSpeed(t *target) float64 {
+	expected := s.speed
+	if s.target == t {
+		expected = s.elsewhereSpeed
 	}
-	if usual == 0 {
+	if expected == 0 {
 		return 1
 	}
-	return usual
+	return expected
 }
 
 // outlastsTarget reports whether a run on a target that leaves will not end before it
 // does. One that loses its work by a move is left to its luck: targets often stay
 // somewhat longer than they must.
 func (m *Machine) outlastsTarget(r *run, now time.Time) bool {
-	left := r.expectedLeft(now)
+	remaining := r.expectedLeft(now)
 	stays := time.Duration(r.target.Remains)*time.Millisecond - now.Sub(r.target.remainsToldAt)
 	if r.task.step.spec.Checkpointing && !r.task.step.spec.Gang {
-		return left > stays
+		return remaining > stays
 	}
-	return left > stays+drainGrace
+	return remaining > stays+drainGrace
 }
 
 // drainGrace is how much longer than it must a target is hoped to stay.
@@ -231,10 +231,10 @@
 // moveRun ends a run so that its task is started again elsewhere. A task that may
 // run twice gets a second run instead. Nothing is moved while no other target has
 // room for it.
-func (m *Machine) moveRun(r *run, why string, now time.Time) {
+func (m *Machine) moveRun(r *run, reason string, now time.Time) {
 	x := r.task
 	if x.step.spec.Gang {
-		m.moveGang(r, why, now)
+		m.moveGang(r, reason, now)
 		return
 	}
 	x.attempts().avoid(r.target)
@@ -243,18 +243,18 @@
 		return
 	}
 	if !x.step.spec.Copies {
-		m.stop(r, why, now)
+		m.stop(r, reason, now)
 		return
 	}
 	if len(x.runs) > 1 {
 		return
 	}
-	m.log.Decided("second run", "task", r.Task, "reason", why)
+	m.log.Decided("second run", "task", r.Task, "reason", reason)
 	m.recordIfFits([]*run{m.place(x, t, x.highestRun+1, now)})
 }
 
 // moveGang ends a whole gang for the sake of one member.
-func (m *Machine) moveGang(r *run, why string, now time.Time) {
-	m.stop(r, why, now)
-	m.stopGang(r, "another member: "+why, now)
+func (m *Machine) moveGang(r *run, reason string, now time.Time) {
+	m.stop(r, reason, now)
+	m.stopGang(r, "another member: "+reason, now)
 }
--- a/internal/work/dispatch/straggler_test.go
+++ b/internal/work/dispatch/straggler_test.go
@@ -9,7 +9,7 @@
 
 // targetOfJob returns the target on which a job runs.
 func (d *simulation) targetOfJob(id string) string {
-	for _, x := range d.m.targetsByID {
+	for _, x := range d.m.sortedTargets {
 		for r := range x.runs {
 			if string(r.Task.Job) == id {
 				return x.ID
@@ -77,7 +77,7 @@
 func TestFailingTargetIsAvoided(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 3, DefaultBounds())
-	bad := d.m.targetsByID[0].ID // gets the first tasks
+	bad := d.m.sortedTargets[0].ID // gets the first tasks
 	d.p.FailAll(bad, true)
 	for range 12 {
 		d.submit(2, time.Second, small(1))
--- a/internal/work/dispatch/target.go
+++ b/internal/work/dispatch/target.go
@@ -65,7 +65,7 @@
 	rev    int64
 }
 
-func (k unackedEnd) saved() bool { return k.job == nil || k.job.savedRev >= k.rev }
+func (e unackedEnd) saved() bool { return e.job == nil || e.job.savedRev >= e.rev }
 
 func (t *target) address() order.Address { return order.Address{ID: t.ID, Host: t.Address} }
 
--- a/internal/work/dispatch/urgency.go
+++ b/internal/work/dispatch/urgency.go
@@ -26,13 +26,13 @@
 		return math.Inf(1)
 	}
 	size := coreEquivalents(s.spec.Needs) * s.spec.Estimate.Seconds() * float64(tasks)
-	wall := m.wallMS(now)
+	nowMS := m.wallMS(now)
 	slack := s.latestStartForObjective() - s.releaseTime()
 	switch {
-	case wall >= s.latestStartForObjective() || slack <= 0:
+	case nowMS >= s.latestStartForObjective() || slack <= 0:
 		return lateLossFactor * size
 	default:
-		used := float64(wall-s.releaseTime()) / float64(slack)
+		used := float64(nowMS-s.releaseTime()) / float64(slack)
 		return (initialLossFactor + (finalLossFactor-initialLossFactor)*used) * size
 	}
 }
--- a/internal/work/dispatch/warmup.go
+++ b/internal/work/dispatch/warmup.go
@@ -38,6 +38,6 @@
 	if !t.cold() || len(t.runs) == 0 {
 		return t.Capacity
 	}
-	warm := func(n int) int { return int(float64(n) * (1 - t.coldShare)) }
-	return graph.Resources{CPU: warm(t.Capacity.CPU), MemoryMB: warm(t.Capacity.MemoryMB), Accelerators: warm(t.Capacity.Accelerators)}
+	scale := func(n int) int { return int(float64(n) * (1 - t.coldShare)) }
+	return graph.Resources{CPU: scale(t.Capacity.CPU), MemoryMB: scale(t.Capacity.MemoryMB), Accelerators: scale(t.Capacity.Accelerators)}
 }
