--- a/internal/work/dispatch/ends.go
+++ b/internal/work/dispatch/ends.go
@@ -75,7 +75,7 @@
 	j := m.jobs[e.Run.Task.Job]
 	if j == nil {
 		m.log.Decided("end of an unknown job", "target", t.ID, "task", e.Run.Task, "run", e.Run.Number, "how", e.How)
-		t.unackedEnds = append(t.unackedEnds, unackedEnd{number: e.Number})
+		t.unsavedEnds = append(t.unsavedEnds, unsavedEnd{number: e.Number})
 		return
 	}
 	m.log.Decided("run ended", "target", t.ID, "task", e.Run.Task, "run", e.Run.Number, "how", e.How, "number", e.Number, "checkpoint", e.Checkpoint)
@@ -95,7 +95,7 @@
 	// Also an end that changes nothing waits for what is not saved yet: another
 	// member's end may have ended the whole gang a moment ago, and must not be
 	// the only one that is left if that save fails.
-	t.unackedEnds = append(t.unackedEnds, unackedEnd{number: e.Number, job: j, rev: j.rev})
+	t.unsavedEnds = append(t.unsavedEnds, unsavedEnd{number: e.Number, job: j, rev: j.rev})
 }
 
 // applyEnd applies an end to its task and reports whether the job's progress has
--- a/internal/work/dispatch/gang.go
+++ b/internal/work/dispatch/gang.go
@@ -36,8 +36,8 @@
 
 // targetSet is a set of targets that could hold a gang.
 type targetSet struct {
-	targets  []*target
-	distance int // how often the gang runs slower there by the far factor: 0 to 2
+	targets   []*target
+	slowdowns int // how often the gang runs slower there by the far factor: 0 to 2
 }
 
 // targetSets returns the sets of targets that could hold the whole gang if they were
@@ -50,7 +50,7 @@
 	for _, rack := range m.racksInOrder() {
 		c := targetSet{}
 		if s.spec.DataRack != "" && rack[0].Rack != s.spec.DataRack {
-			c.distance++
+			c.slowdowns++
 		}
 		for _, t := range rack {
 			if s.eligible(t, now) && !s.tasks[0].excludes(t, now) {
@@ -67,13 +67,13 @@
 	}
 	allTargets := targetSet{targets: all}
 	if s.spec.DataRack != "" {
-		allTargets.distance++
+		allTargets.slowdowns++
 	}
 	if s.spec.SameRack {
-		allTargets.distance++
+		allTargets.slowdowns++
 	}
 	list = append(list, allTargets)
-	slices.SortStableFunc(list, func(a, b targetSet) int { return cmp.Compare(a.distance, b.distance) })
+	slices.SortStableFunc(list, func(a, b targetSet) int { return cmp.Compare(a.slowdowns, b.slowdowns) })
 	return list
 }
 
@@ -137,7 +137,7 @@
 	sets := m.targetSets(s, now)
 	for first := 0; first < len(sets); {
 		last := first
-		for last < len(sets) && sets[last].distance == sets[first].distance {
+		for last < len(sets) && sets[last].slowdowns == sets[first].slowdowns {
 			last++
 		}
 		if plan := m.planOnSets(s, sets[first:last], unplaceable, preempt, now); plan != nil {
--- a/internal/work/dispatch/gang_test.go
+++ b/internal/work/dispatch/gang_test.go
@@ -30,7 +30,7 @@
 				continue
 			}
 			for _, c := range d.m.targetSets(s, d.now) {
-				if plan, _ := d.m.fill(s, c.targets, d.now); plan != nil && (c.distance == 0 || slower) {
+				if plan, _ := d.m.fill(s, c.targets, d.now); plan != nil && (c.slowdowns == 0 || slower) {
 					rt.Fatalf("%d members of %d accelerators fit", len(s.tasks), s.spec.Needs.Accelerators)
 				}
 			}
--- a/internal/work/dispatch/poll.go
+++ b/internal/work/dispatch/poll.go
@@ -90,7 +90,7 @@
 // pollIfDue asks for a report: the first one of this term at once; later ones
 // while something may run there or an acknowledgement is due.
 func (m *Machine) pollIfDue(t *target, now time.Time) {
-	if t.pollPending || now.Before(t.nextPollAt) || (len(t.unackedEnds) > 0 && now.Before(t.unsavedPollAt)) {
+	if t.pollPending || now.Before(t.nextPollAt) || (len(t.unsavedEnds) > 0 && now.Before(t.unsavedPollAt)) {
 		return
 	}
 	ackDue := t.acked > t.confirmedAck && !now.Before(t.ackDue)
@@ -178,7 +178,7 @@
 	}
 	t.reported = true
 	t.advanceAcked(now)
-	if len(t.unackedEnds) > 0 {
+	if len(t.unsavedEnds) > 0 {
 		t.unsavedPollAt = now.Add(unsavedPause)
 	}
 	if len(rep.Running) > 0 && p.Order.Deadline == 0 && !t.pollPending {
@@ -280,12 +280,12 @@
 // first whose progress is not saved.
 func (t *target) advanceAcked(now time.Time) {
 	n := 0
-	for n < len(t.unackedEnds) && t.unackedEnds[n].saved() {
-		t.acked = t.unackedEnds[n].number
+	for n < len(t.unsavedEnds) && t.unsavedEnds[n].saved() {
+		t.acked = t.unsavedEnds[n].number
 		n++
 	}
 	if n > 0 {
-		t.unackedEnds = t.unackedEnds[n:]
+		t.unsavedEnds = t.unsavedEnds[n:]
 		t.ackDue = now.Add(maxAckDelay)
 	}
 }
--- a/internal/work/dispatch/save.go
+++ b/internal/work/dispatch/save.go
@@ -136,7 +136,7 @@
 	}
 	p.sending = nil
 	for _, t := range m.sortedTargets {
-		if len(t.unackedEnds) > 0 {
+		if len(t.unsavedEnds) > 0 {
 			t.advanceAcked(now)
 			m.considerPoll(t)
 		}
--- a/internal/work/dispatch/target.go
+++ b/internal/work/dispatch/target.go
@@ -47,7 +47,7 @@
 	nextPollAt       time.Time          // not before
 	reported         bool               // a first report came in this term
 	highestEnd       int64              // highest end number that was taken in
-	unackedEnds      []unackedEnd       // ends taken in and not yet saved, by number
+	unsavedEnds      []unsavedEnd       // ends taken in and not yet saved, by number
 	unsavedPollAt    time.Time          // while ends are not saved: no hold before
 	acked            int64              // ends up to it are saved
 	confirmedAck     int64              // acknowledged in the hold that was answered last
@@ -58,14 +58,14 @@
 	suspendedUntil   time.Time // gets no work until then
 }
 
-// unackedEnd says which saved revision of a job contains an end.
-type unackedEnd struct {
+// unsavedEnd says which saved revision of a job contains an end.
+type unsavedEnd struct {
 	number int64
 	job    *job // nil: nothing to save
 	rev    int64
 }
 
-func (e unackedEnd) saved() bool { return e.job == nil || e.job.savedRev >= e.rev }
+func (e unsavedEnd) saved() bool { return e.job == nil || e.job.savedRev >= e.rev }
 
 func (t *target) address() order.Address { return order.Address{ID: t.ID, Host: t.Address} }
 
@@ -77,7 +77,7 @@
 // removable reports whether nothing need be known of the target any more: it has
 // left the list, nothing may run there and no end is left to acknowledge.
 func (t *target) removable() bool {
-	return !t.listed && len(t.runs) == 0 && len(t.unackedEnds) == 0 && (t.reach != reachable || t.acked == t.confirmedAck)
+	return !t.listed && len(t.runs) == 0 && len(t.unsavedEnds) == 0 && (t.reach != reachable || t.acked == t.confirmedAck)
 }
 
 // freeCapacity returns what is free, counting what waits for capacity as taken.
