--- a/internal/work/dispatch/attempts.go
+++ b/internal/work/dispatch/attempts.go
@@ -82,7 +82,7 @@
 	provenTime = 4 * time.Second
 	// lastAttemptWait is how long a last attempt waits for a target on which something has
 	// gone well that began since the task failed early. By then each target that got
-	// work has reported: a hold takes two seconds at most.
+	// work has reported: a poll takes two seconds at most.
 	lastAttemptWait = maxPollWait + 200*time.Millisecond
 )
 
--- a/internal/work/dispatch/command.go
+++ b/internal/work/dispatch/command.go
@@ -36,7 +36,7 @@
 	Target order.Address
 	Order  order.Hold
 	Class  limiter.Class // in which it waits for its turn, unless it waits for an end
-	Extra  bool          // beside a hold that may have been lost
+	Extra  bool          // beside a poll that may have been lost
 	Sent   time.Time     // when the machine asked for it
 }
 
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -29,7 +29,7 @@
 	placementEnabled   bool // placing is allowed
 	placementEnabledAt time.Time
 	listAsOf           time.Time // when the list of targets was read that is known
-	pollCandidates     []*target // for which a hold is to be considered
+	pollCandidates     []*target // for which a poll is to be considered
 	newSteps           []*step   // that came up since the last pass
 	nextPassAt         time.Time // the next pass is not before
 	pass               pass
--- a/internal/work/dispatch/poll.go
+++ b/internal/work/dispatch/poll.go
@@ -9,7 +9,7 @@
 )
 
 // maxAckDelay bounds how long an end that is saved stays unacknowledged: the
-// acknowledgement rides on the next hold, which a target without work would not
+// acknowledgement rides on the next poll, which a target without work would not
 // need otherwise.
 const maxAckDelay = time.Second
 
@@ -33,20 +33,20 @@
 	m.extraPollIfDue(t, now)
 }
 
-// Figures of looks beside a hold.
+// Figures of extra polls.
 const (
-	// pollOverdue is how long after its time a hold counts as lost.
+	// pollOverdue is how long after its time a poll counts as lost.
 	pollOverdue = 300 * time.Millisecond
 	// endOverdueAfter is how long after a stop was answered its end is missed. A stop
 	// takes up to 400 ms, and most take half of it.
 	endOverdueAfter = 450 * time.Millisecond
-	// extraPollInterval is the time between two looks at one target.
+	// extraPollInterval is the time between two extra polls of one target.
 	extraPollInterval = 400 * time.Millisecond
 )
 
-// extraPollIfDue asks for a report beside the hold that is outstanding, if that may
+// extraPollIfDue asks for a report beside the poll that is outstanding, if that may
 // have been lost: its time is over, another order was not answered, or a stop was
-// answered and its end is not listed. Without it a lost hold blinds the leader until
+// answered and its end is not listed. Without it a lost poll blinds the leader until
 // its time-out, and room that was cleared for urgent work goes unused for as long.
 func (m *Machine) extraPollIfDue(t *target, now time.Time) {
 	if !t.pollPending || t.extraPollPending || t.reach != reachable || now.Sub(t.extraPollSentAt) < extraPollInterval {
@@ -58,16 +58,16 @@
 	m.sendExtraPoll(t, now)
 }
 
-// sendExtraPoll asks for a report beside the hold that is outstanding.
+// sendExtraPoll asks for a report beside the poll that is outstanding.
 func (m *Machine) sendExtraPoll(t *target, now time.Time) {
 	t.extraPollPending, t.extraPollSentAt = true, now
 	m.commands = append(m.commands, Poll{Target: t.address(), Order: order.Hold{Term: m.term, Acked: t.acked}, Class: t.class(limiter.Report), Extra: true, Sent: now})
 }
 
 // pollZone asks the targets of a zone that have missed something for a report, now that
-// one of them answers again: a cut may be over. Their holds were sent into it, and would be
+// one of them answers again: a cut may be over. Their polls were sent into it, and would be
 // waited for until their time-outs, with all that has ended there. A new leader's first
-// holds are on their way to all targets; those are not to be asked twice.
+// polls are on their way to all targets; those are not to be asked twice.
 func (m *Machine) pollZone(zone string, now time.Time) {
 	for _, t := range m.sortedTargets {
 		if t.Zone == zone && t.reach != reachable && !t.responsive() && t.pollPending && !t.extraPollPending && now.Sub(t.extraPollSentAt) >= extraPollInterval {
@@ -187,7 +187,7 @@
 	m.placementDue = true
 }
 
-// pollAnswered notes that a hold is no longer outstanding.
+// pollAnswered notes that a poll is no longer outstanding.
 func (t *target) pollAnswered(p Poll) {
 	if p.Extra {
 		t.extraPollPending = false
--- a/internal/work/dispatch/preemption_test.go
+++ b/internal/work/dispatch/preemption_test.go
@@ -55,9 +55,9 @@
 	d.check()
 }
 
-// Room is cleared for an urgent gang, and the holds that would tell that the
-// stopped tasks have ended are lost. A look beside each finds it: the gang waits
-// for some tenths of a second and not for the holds' time-out.
+// Room is cleared for an urgent gang, and the polls that would tell that the
+// stopped tasks have ended are lost. An extra poll of each target finds it: the gang waits
+// for some tenths of a second and not for the polls' time-out.
 func TestPreemptedCapacityIsFoundThoughPollsAreLost(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 4, DefaultBounds())
@@ -67,7 +67,7 @@
 		h, ok := c.(Poll)
 		return ok && !h.Extra
 	}
-	d.run(1500 * time.Millisecond) // the holds that were answered are asked again, and lost
+	d.run(1500 * time.Millisecond) // the polls that were answered are asked again, and lost
 	id := d.submit(0, 2500*time.Millisecond, urgent(2, 8))
 	d.run(1500 * time.Millisecond)
 	is.Equal(d.state(id), progress.Running)
--- a/internal/work/dispatch/reachability.go
+++ b/internal/work/dispatch/reachability.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// A target that is cut off is known to be silent only when its hold has timed out,
+// A target that is cut off is known to be silent only when its poll has timed out,
 // seconds later; an idle one has none. What is placed there meanwhile waits until the
 // cut is over, or until every lease has lapsed, since the order may have been carried
 // out. So one order without an answer closes a target until it answers anything; and
--- a/internal/work/dispatch/reachability_test.go
+++ b/internal/work/dispatch/reachability_test.go
@@ -20,7 +20,7 @@
 	d.dropCommand = func(c Command) bool { return disconnected[targetOf(c)] }
 }
 
-// A zone is cut off while some of its targets are idle: no hold is outstanding there
+// A zone is cut off while some of its targets are idle: no poll is outstanding there
 // that could time out. Urgent gangs come one after another. Users would see each of
 // them take an idle rack of that zone and wait until the cut is over, since an order
 // without an answer may have been carried out. Once two targets have missed an order
@@ -110,7 +110,7 @@
 	d.check()
 }
 
-// A zone is back after a cut. The holds of its targets were sent into the cut and are
+// A zone is back after a cut. The polls of its targets were sent into the cut and are
 // waited for until their time-outs, which a leader that takes its orders' delays into
 // account makes long; what has ended there was told that much later. The first target that
 // answers has all others asked at once.
@@ -183,7 +183,7 @@
 }
 
 // The answer to one start is lost. The target gets nothing more until it has answered
-// something, which a look beside the hold asks for at once.
+// something, which an extra poll asks for at once.
 func TestTargetIsPolledAfterLostAnswer(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 1, DefaultBounds())
@@ -200,7 +200,7 @@
 	d.check()
 }
 
-// A new leader's first holds are on their way to all targets of a zone when the first answer
+// A new leader's first polls are on their way to all targets of a zone when the first answer
 // comes. Asked a second time, with as many new connections, they kept a leader of thousands
 // of targets busy just when it had to catch up.
 func TestNewLeaderPollsEachTargetOnce(t *testing.T) {
--- a/internal/work/dispatch/schedule.go
+++ b/internal/work/dispatch/schedule.go
@@ -46,7 +46,7 @@
 	return at, m.placementEnabled && m.placementDue && !m.deposed && m.stateIsCurrent(now)
 }
 
-// considerPoll has a hold considered for a target of which something has changed.
+// considerPoll has a poll considered for a target of which something has changed.
 func (m *Machine) considerPoll(t *target) {
 	if !t.pollCandidate {
 		t.pollCandidate = true
--- a/internal/work/dispatch/target.go
+++ b/internal/work/dispatch/target.go
@@ -35,11 +35,11 @@
 	clockMS          int64              // its clock when last told
 	clockAt          time.Time          // when that was received
 	leaseEnd         time.Time          // everything that was ordered there has lapsed by then
-	pollCandidate    bool               // among those for which a hold is to be considered
-	pollPending      bool               // a hold is outstanding
-	pollSentAt       time.Time          // when the outstanding hold was sent
-	extraPollPending bool               // a look is outstanding
-	extraPollSentAt  time.Time          // when the last look was sent
+	pollCandidate    bool               // among those for which a poll is to be considered
+	pollPending      bool               // a poll is outstanding
+	pollSentAt       time.Time          // when the outstanding poll was sent
+	extraPollPending bool               // an extra poll is outstanding
+	extraPollSentAt  time.Time          // when the last extra poll was sent
 	reportedAt       time.Time          // when it last reported
 	answeredAt       time.Time          // when it last answered anything
 	unansweredSince  time.Time          // when the first order was sent that it has not answered, nor any since; zero: none
@@ -48,9 +48,9 @@
 	reported         bool               // a first report came in this term
 	highestEnd       int64              // highest end number that was taken in
 	unsavedEnds      []unsavedEnd       // ends taken in and not yet saved, by number
-	unsavedPollAt    time.Time          // while ends are not saved: no hold before
+	unsavedPollAt    time.Time          // while ends are not saved: no poll before
 	acked            int64              // ends up to it are saved
-	confirmedAck     int64              // acknowledged in the hold that was answered last
+	confirmedAck     int64              // acknowledged in the poll that was answered last
 	ackDue           time.Time          // when unacknowledged ends are to be acknowledged at the latest; zero: none
 	health           soundness.Record
 	pacedAt          time.Time // when its filling tasks were paced last
