--- a/internal/work/dispatch/accept.go
+++ b/internal/work/dispatch/accept.go
@@ -90,17 +90,17 @@
 
 func (m *Machine) restoreStep(s *step, k *progress.Step, now time.Time) {
 	if s.spec.Gang {
-		s.gangAttempts.failed, s.savedCheckpoint = k.Failures[0], k.Saved[0]
+		s.gangAttempts.failed, s.savedCheckpoint = k.FailedRuns[0], k.Checkpoints[0]
 	}
-	placed := map[int][]progress.Place{}
-	for _, p := range k.Placed {
+	placed := map[int][]progress.Placement{}
+	for _, p := range k.Placements {
 		placed[p.Task] = append(placed[p.Task], p)
 	}
 	for _, x := range s.tasks {
 		if !s.spec.Gang {
-			x.ownAttempts.failed, x.savedCheckpoint = k.Failures[x.index], k.Saved[x.index]
+			x.ownAttempts.failed, x.savedCheckpoint = k.FailedRuns[x.index], k.Checkpoints[x.index]
 		}
-		x.highestRun = k.Runs[x.index]
+		x.highestRun = k.LastRuns[x.index]
 		for _, p := range placed[x.index] {
 			x.highestRun = max(x.highestRun, p.Run)
 		}
@@ -118,7 +118,7 @@
 
 // restoreRun takes over a run that an earlier leader recorded. It exists until its
 // target reports without it, or its leases have lapsed.
-func (m *Machine) restoreRun(x *task, p progress.Place, now time.Time) {
+func (m *Machine) restoreRun(x *task, p progress.Placement, now time.Time) {
 	t := m.targets[p.Target]
 	if t == nil { // UpdateTargets tells the rest, if it is still there
 		t = m.addTarget(roster.Target{ID: p.Target})
--- a/internal/work/dispatch/advice.go
+++ b/internal/work/dispatch/advice.go
@@ -69,7 +69,7 @@
 			if len(names) == maxAdviceTargets || s.permits.denied[t.ID] || s.permitted(t, now) || !s.eligibleWithoutAdvice(t, now) {
 				continue
 			}
-			if s.spec.Charge().Within(t.freeCapacity()) == withRoom {
+			if s.spec.Charge().FitsIn(t.freeCapacity()) == withRoom {
 				names = append(names, t.ID)
 			}
 		}
--- a/internal/work/dispatch/fit.go
+++ b/internal/work/dispatch/fit.go
@@ -39,7 +39,7 @@
 	var bestFit fit
 	m.targetsConsidered += len(m.sortedTargets)
 	for _, t := range m.sortedTargets {
-		if !s.eligible(t, now) || x.excludes(t, now) || m.reservedForOther(t, s) || !charge.Within(t.freeCapacity()) || s.perTargetLeft(t) <= 0 {
+		if !s.eligible(t, now) || x.excludes(t, now) || m.reservedForOther(t, s) || !charge.FitsIn(t.freeCapacity()) || s.perTargetLeft(t) <= 0 {
 			continue
 		}
 		if f := m.fitOf(x, t, t.freeCapacity(), now); best == nil || f.compare(bestFit) < 0 {
--- a/internal/work/dispatch/gang.go
+++ b/internal/work/dispatch/gang.go
@@ -209,7 +209,7 @@
 	for _, n := range p.unplaceable {
 		o := n.step
 		similar := o.job.spec.Service == s.job.spec.Service && o.spec.Label == s.spec.Label && o.spec.DataRack == s.spec.DataRack && o.spec.SameRack == s.spec.SameRack
-		if similar && (n.slower || !slower) && len(o.tasks) <= len(s.tasks) && o.spec.Charge().Within(s.spec.Charge()) {
+		if similar && (n.slower || !slower) && len(o.tasks) <= len(s.tasks) && o.spec.Charge().FitsIn(s.spec.Charge()) {
 			return true
 		}
 	}
@@ -239,7 +239,7 @@
 		best := -1
 		var bestFit fit
 		for i, t := range targets {
-			if slots[i] <= 0 || !charge.Within(free[i]) {
+			if slots[i] <= 0 || !charge.FitsIn(free[i]) {
 				continue
 			}
 			if f := m.fitOf(x, t, free[i], now); best < 0 || f.compare(bestFit) < 0 {
@@ -269,7 +269,7 @@
 		need[r.target] = need[r.target].Plus(r.charge)
 	}
 	for t, n := range need {
-		if !n.Within(t.Capacity.Minus(t.used)) {
+		if !n.FitsIn(t.Capacity.Minus(t.used)) {
 			return false
 		}
 	}
--- a/internal/work/dispatch/health.go
+++ b/internal/work/dispatch/health.go
@@ -41,7 +41,7 @@
 
 // recordHealthyRun takes in that a run which goes on speaks for its target.
 func (m *Machine) recordHealthyRun(r *run, now time.Time) {
-	if r.provedHealthy || r.phase != running || r.task.step.spec.Lasting || !r.allMembersRunning() {
+	if r.provedHealthy || r.phase != running || r.task.step.spec.LongRunning || !r.allMembersRunning() {
 		return
 	}
 	r.provedHealthy = r.target.health.Survived(r.beganAt, m.timeWorked(r, now), r.task.step.spec.Estimate, now)
--- a/internal/work/dispatch/once_test.go
+++ b/internal/work/dispatch/once_test.go
@@ -19,7 +19,7 @@
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
 	j := testJob("00000000000000da", 1)
-	j.Once, j.AcceptedAt = true, d.now.UnixMilli()
+	j.AtMostOnce, j.AcceptedAt = true, d.now.UnixMilli()
 	d.p.Submit(j, pool.Behaviour{Work: func(graph.TaskID) time.Duration { return 5 * time.Second }})
 	d.submittedAt[j.ID] = d.now
 	d.m.Accept(j, d.now)
@@ -38,7 +38,7 @@
 	s := newFixture()
 	id := graph.JobID("00000000000000db")
 	j := testJob(id, 1)
-	j.Once = true
+	j.AtMostOnce = true
 	s.Accept(j, s.now)
 	s.EnablePlacement(s.now, s.now)
 	s.report(order.Report{})
@@ -57,7 +57,7 @@
 	is := is.New(t)
 	s := newFixture()
 	j := testJob("00000000000000dc", 1)
-	j.Once = true
+	j.AtMostOnce = true
 	s.Accept(j, s.now)
 	s.EnablePlacement(s.now, s.now)
 	s.report(order.Report{})
--- a/internal/work/dispatch/pacing.go
+++ b/internal/work/dispatch/pacing.go
@@ -46,7 +46,7 @@
 		return
 	}
 	for _, r := range t.sortedRuns() {
-		if r.phase != running || !r.task.step.spec.Filling {
+		if r.phase != running || !r.task.step.spec.BestEffortCPU {
 			continue
 		}
 		if share := nextShare(r.paceShare, ratio); share != r.paceShare {
@@ -90,7 +90,7 @@
 func (t *target) mixesServingAndFilling() bool {
 	fills := false
 	for _, r := range t.runs {
-		fills = fills || r.task.step.spec.Filling
+		fills = fills || r.task.step.spec.BestEffortCPU
 	}
 	_, serves := t.tailRatio()
 	return fills && serves
@@ -117,7 +117,7 @@
 
 // initialShare returns the share at which a run that was found is thought to work.
 func initialShare(s *step) int {
-	if s.spec.Filling {
+	if s.spec.BestEffortCPU {
 		return adoptedShare
 	}
 	return 100
@@ -129,7 +129,7 @@
 	n := 0
 	for _, r := range t.runs {
 		o := r.task.step.spec
-		if (s.spec.Filling && o.TailLimit > 0) || (s.spec.TailLimit > 0 && o.Filling) {
+		if (s.spec.BestEffortCPU && o.TailLimit > 0) || (s.spec.TailLimit > 0 && o.BestEffortCPU) {
 			n++
 		}
 	}
--- a/internal/work/dispatch/save.go
+++ b/internal/work/dispatch/save.go
@@ -77,10 +77,10 @@
 	k := &progress.Step{}
 	empty := len(s.gangAttempts.failed) == 0 && s.savedCheckpoint == ""
 	if len(s.gangAttempts.failed) > 0 {
-		k.Failures = map[int][]int{0: s.gangAttempts.failed}
+		k.FailedRuns = map[int][]int{0: s.gangAttempts.failed}
 	}
 	if s.savedCheckpoint != "" {
-		k.Saved = map[int]string{0: s.savedCheckpoint}
+		k.Checkpoints = map[int]string{0: s.savedCheckpoint}
 	}
 	for _, t := range s.tasks {
 		switch {
@@ -92,22 +92,22 @@
 			empty = false
 			continue
 		case len(t.ownAttempts.failed) > 0:
-			k.Failures = put(k.Failures, t.index, t.ownAttempts.failed)
+			k.FailedRuns = put(k.FailedRuns, t.index, t.ownAttempts.failed)
 			empty = false
 		}
 		highestPlaced := false // the highest run is among those that may exist
 		for _, r := range t.runs {
 			if r.phase != awaitingCapacity {
-				k.Placed = append(k.Placed, progress.Place{Task: t.index, Target: r.target.ID, Run: r.Number})
+				k.Placements = append(k.Placements, progress.Placement{Task: t.index, Target: r.target.ID, Run: r.Number})
 				highestPlaced = highestPlaced || r.Number == t.highestRun
 			}
 		}
 		if t.highestRun > 0 && !highestPlaced {
-			k.Runs = put(k.Runs, t.index, t.highestRun)
+			k.LastRuns = put(k.LastRuns, t.index, t.highestRun)
 		}
 		empty = empty && t.highestRun == 0
 		if t.savedCheckpoint != "" {
-			k.Saved = put(k.Saved, t.index, t.savedCheckpoint)
+			k.Checkpoints = put(k.Checkpoints, t.index, t.savedCheckpoint)
 			empty = false
 		}
 	}
@@ -158,7 +158,7 @@
 // reportJobEnded tells of a job that came to its end. What its client took back says
 // nothing about service, and a job that recurs or lasts has no time to keep.
 func (m *Machine) reportJobEnded(j *job, s progress.State) {
-	if s == progress.Cancelled || j.spec.Repeat > 0 || j.spec.Lasting() {
+	if s == progress.Cancelled || j.spec.Repeat > 0 || j.spec.LongRunning() {
 		return
 	}
 	took := time.Duration(j.endedAt-j.spec.AcceptedAt) * time.Millisecond
--- a/internal/work/dispatch/straggler.go
+++ b/internal/work/dispatch/straggler.go
@@ -28,7 +28,7 @@
 // moves those that stand still or run far slower than they would elsewhere.
 func (m *Machine) checkProgress(t *target, now time.Time) {
 	for _, r := range t.sortedRuns() {
-		if r.phase != running || r.task.step.spec.Lasting || r.task.step.job.spec.Once || r.paceShare < 100 || r.task.step.job.finished() {
+		if r.phase != running || r.task.step.spec.LongRunning || r.task.step.job.spec.AtMostOnce || r.paceShare < 100 || r.task.step.job.finished() {
 			continue
 		}
 		m.recordHealthyRun(r, now)
@@ -242,7 +242,7 @@
 	if t == nil || t == r.target {
 		return
 	}
-	if !x.step.spec.Copies {
+	if !x.step.spec.Speculative {
 		m.stop(r, reason, now)
 		return
 	}
