--- a/internal/work/dispatch/once_test.go
+++ b/internal/work/dispatch/at_most_once_test.go
@@ -15,7 +15,7 @@
 // A billed order may run at most once. Its target crashes while it runs: nobody
 // knows how far it came, so it is not started again, and its caller is told that
 // it failed.
-func TestOnceIsNotStartedAgain(t *testing.T) {
+func TestAtMostOnceJobIsNotRestarted(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
 	j := testJob("00000000000000da", 1)
@@ -33,7 +33,7 @@
 }
 
 // The same order is done before anything goes wrong.
-func TestOnceCompletes(t *testing.T) {
+func TestAtMostOnceJobCompletes(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
 	id := graph.JobID("00000000000000db")
@@ -53,7 +53,7 @@
 }
 
 // A start that was certainly not sent is no run: the order is started elsewhere.
-func TestOnceIsRestartedAfterRefusal(t *testing.T) {
+func TestAtMostOnceJobIsPlacedAgainAfterRefusal(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
 	j := testJob("00000000000000dc", 1)
--- a/internal/work/dispatch/ends.go
+++ b/internal/work/dispatch/ends.go
@@ -55,9 +55,9 @@
 	m.enqueueStep(r.task.step, now)
 }
 
-// failIfOnce ends a job that may be run only once, after one of its runs that may
+// failIfAtMostOnce ends a job that may be run only once, after one of its runs that may
 // have begun is over and its task is not done: it must not be started again.
-func (m *Machine) failIfOnce(r *run, now time.Time) {
+func (m *Machine) failIfAtMostOnce(r *run, now time.Time) {
 	j := r.task.step.job
 	if !j.spec.AtMostOnce || r.task.done || j.finished() || r.phase == awaitingCapacity || r.phase == recorded {
 		return
@@ -87,7 +87,7 @@
 		}
 	}
 	if r != nil {
-		m.failIfOnce(r, now)
+		m.failIfAtMostOnce(r, now)
 		if e.How == order.Broken {
 			m.recordBrokenMember(r, now)
 		}
@@ -119,15 +119,15 @@
 		return true
 	}
 	if e.How == order.Failed {
-		x.pausedUntil = now.Add(lastingPause)
+		x.pausedUntil = now.Add(longRunningPause)
 	}
 	return saved
 }
 
-// lastingPause is the pause before a lasting task that failed is started again,
+// longRunningPause is the pause before a long-running task that failed is started again,
 // so that one that cannot run does not take all orders. Half the time after
 // which a missing task counts against us is left for the start.
-const lastingPause = 500 * time.Millisecond
+const longRunningPause = 500 * time.Millisecond
 
 // saveCheckpoint takes a checkpoint over and reports whether it is a new one.
 func (x *task) saveCheckpoint(checkpoint string) bool {
--- a/internal/work/dispatch/gang_end.go
+++ b/internal/work/dispatch/gang_end.go
@@ -44,7 +44,7 @@
 	s.gangAttempts.recordUncertain(r.Number, t.leaseEnd)
 	for _, o := range t.runsWhere(func(o *run) bool { return o.task.step == s && o.Number == r.Number }) {
 		m.release(o, now)
-		m.failIfOnce(o, now)
+		m.failIfAtMostOnce(o, now)
 	}
 }
 
--- a/internal/work/dispatch/lasting.go
+++ b/internal/work/dispatch/long_running.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// moveLasting moves lasting tasks off a target that leaves, as many at a time as
+// moveLongRunning moves long-running tasks off a target that leaves, as many at a time as
 // their step may miss: each is away for a moment only, instead of from its
 // target's end until that is noticed.
-func (m *Machine) moveLasting(t *target, now time.Time) {
+func (m *Machine) moveLongRunning(t *target, now time.Time) {
 	if !t.Draining {
 		return
 	}
@@ -20,7 +20,7 @@
 	}
 }
 
-// unavailable returns how many tasks of a lasting step are not at work.
+// unavailable returns how many tasks of a long-running step are not at work.
 func (s *step) unavailable() int {
 	n := 0
 	for _, x := range s.tasks {
@@ -31,7 +31,7 @@
 	return n
 }
 
-// serving reports whether a lasting task has started up and serves.
+// serving reports whether a long-running task has started up and serves.
 func (x *task) serving() bool {
 	for _, r := range x.runs {
 		if r.phase == running && r.percent == 100 {
--- a/internal/work/dispatch/pacing.go
+++ b/internal/work/dispatch/pacing.go
@@ -6,30 +6,30 @@
 	"guavaglade.example/guavaglade/internal/fleet/order"
 )
 
-// Tasks that fill use the processor time that others leave, and slow down tasks
+// Best-effort tasks use the processor time that others leave, and slow down tasks
 // that serve beside them, by amounts that are not known beforehand and change
 // within seconds. So the tail of response times that a target reports steers how
-// much its filling tasks work.
+// much its best-effort tasks work.
 
 // Figures of pacing. The tail may be over its limit for some seconds on end
 // before that counts as harm.
 const (
 	// paceWait is how long a report waits on a target where tasks that serve and
-	// tasks that fill are side by side.
+	// best-effort tasks are side by side.
 	paceWait = time.Second
-	// slowDownAbove and speedUpBelow: shares of the limit on the tail above which filling
+	// slowDownAbove and speedUpBelow: shares of the limit on the tail above which best-effort
 	// tasks are slowed down, and below which they are let on. The gap keeps them
 	// from swinging.
 	slowDownAbove = 0.85
 	speedUpBelow  = 0.6
-	// paceStep is how many percent filling tasks are let on at a time.
+	// paceStep is how many percent best-effort tasks are let on at a time.
 	paceStep = 15
 	// pacePause is the pause after a change, until its effect is reported: the
 	// tail is that of the last half second.
 	pacePause = 700 * time.Millisecond
 )
 
-// Pace lets a filling run work at a share of its speed. The answer goes to
+// Pace lets a best-effort run work at a share of its speed. The answer goes to
 // Machine.PaceAnswered.
 type Pace struct {
 	Target  order.Address
@@ -39,7 +39,7 @@
 
 func (Pace) command() {}
 
-// pace steers the filling runs of a target by what it just reported.
+// pace steers the best-effort runs of a target by what it just reported.
 func (m *Machine) pace(t *target, now time.Time) {
 	ratio, serves := t.tailRatio()
 	if !serves || now.Before(t.pacedAt.Add(pacePause)) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// nextShare returns the share at which a filling run works next: much less when the
+// nextShare returns the share at which a best-effort run works next: much less when the
 // tail nears its limit, none when it is over it, a little more when there is room.
 func nextShare(share int, ratio float64) int {
 	switch {
@@ -86,14 +86,14 @@
 	return worst, serves
 }
 
-// mixesServingAndFilling reports whether tasks that serve and tasks that fill are on the target.
-func (t *target) mixesServingAndFilling() bool {
-	fills := false
+// mixesServingAndBestEffort reports whether tasks that serve and best-effort tasks are on the target.
+func (t *target) mixesServingAndBestEffort() bool {
+	bestEffort := false
 	for _, r := range t.runs {
-		fills = fills || r.task.step.spec.BestEffortCPU
+		bestEffort = bestEffort || r.task.step.spec.BestEffortCPU
 	}
 	_, serves := t.tailRatio()
-	return fills && serves
+	return bestEffort && serves
 }
 
 // PaceAnswered takes in what became of an order to pace. One that was not carried
@@ -110,7 +110,7 @@
 	}
 }
 
-// adoptedShare is the share at which a filling run is thought to work that an
+// adoptedShare is the share at which a best-effort run is thought to work that an
 // earlier leader started: it may have been slowed down to nothing, so it is let
 // on from there.
 const adoptedShare = paceStep
@@ -123,7 +123,7 @@
 	return 100
 }
 
-// interference says how much a task that fills, or one that serves, would be disturbed
+// interference says how much a best-effort task, or one that serves, would be disturbed
 // or disturb on a target: the number of the others there.
 func (t *target) interference(s *step) int {
 	n := 0
--- a/internal/work/dispatch/pacing_test.go
+++ b/internal/work/dispatch/pacing_test.go
@@ -21,14 +21,14 @@
 	is.Equal(nextShare(0, 0.1), 15)   // back from nothing
 }
 
-// A task that serves shares its target with one that fills. Its tail nears and
-// passes the limit: the filling one is slowed down, then halted; when the tail is
+// A task that serves shares its target with a best-effort one. Its tail nears and
+// passes the limit: the best-effort one is slowed down, then halted; when the tail is
 // low again it is let on step by step.
-func TestFillingTaskIsPaced(t *testing.T) {
+func TestBestEffortTaskIsPaced(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
-	serves, fills := graph.JobID("00000000000000ca"), graph.JobID("00000000000000cb")
-	a, b := testJob(serves, 1), testJob(fills, 1)
+	serves, bestEffort := graph.JobID("00000000000000ca"), graph.JobID("00000000000000cb")
+	a, b := testJob(serves, 1), testJob(bestEffort, 1)
 	a.Steps[0].LongRunning, a.Steps[0].TailLimit = true, 100*time.Millisecond
 	b.Steps[0].BestEffortCPU = true
 	s.Restore(a, nil, 0, false, s.now)
@@ -37,7 +37,7 @@
 	tail := func(ms int) []Pace {
 		s.now = s.now.Add(time.Second)
 		s.report(order.Report{Running: []order.Running{
-			{Run: testRun(serves, 0, 1), Percent: 100, Gauge: ms}, {Run: testRun(fills, 0, 1), Percent: 3, Gauge: 9000},
+			{Run: testRun(serves, 0, 1), Percent: 100, Gauge: ms}, {Run: testRun(bestEffort, 0, 1), Percent: 3, Gauge: 9000},
 		}})
 		return commands[Pace](s)
 	}
@@ -55,14 +55,14 @@
 func TestUnansweredPaceIsRepeated(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
-	serves, fills := graph.JobID("00000000000000cc"), graph.JobID("00000000000000cd")
-	a, b := testJob(serves, 1), testJob(fills, 1)
+	serves, bestEffort := graph.JobID("00000000000000cc"), graph.JobID("00000000000000cd")
+	a, b := testJob(serves, 1), testJob(bestEffort, 1)
 	a.Steps[0].LongRunning, a.Steps[0].TailLimit = true, 100*time.Millisecond
 	b.Steps[0].BestEffortCPU = true
 	s.Restore(a, nil, 0, false, s.now)
 	s.Restore(b, nil, 0, false, s.now)
 	s.EnablePlacement(s.now, s.now)
-	rep := order.Report{Running: []order.Running{{Run: testRun(serves, 0, 1), Percent: 100, Gauge: 200}, {Run: testRun(fills, 0, 1)}}}
+	rep := order.Report{Running: []order.Running{{Run: testRun(serves, 0, 1), Percent: 100, Gauge: 200}, {Run: testRun(bestEffort, 0, 1)}}}
 	s.report(rep)
 	first := commands[Pace](s)
 	is.Equal(len(first), 1)
@@ -73,16 +73,16 @@
 	is.Equal(len(commands[Pace](s)), 1)
 }
 
-// Lasting tasks run on a target that leaves. They are moved one after the other,
+// Long-running tasks run on a target that leaves. They are moved one after the other,
 // as many at a time as their step may miss, and none of the others is stopped.
-func TestLastingTasksMoveWithinMaxUnavailable(t *testing.T) {
+func TestLongRunningTasksMoveWithinMaxUnavailable(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 3, DefaultBounds())
 	s := small(6)
 	s.LongRunning, s.MaxUnavailable, s.PerTarget = true, 1, 3
 	id := d.submit(2, time.Hour, s)
 	d.run(time.Second)
-	for _, x := range d.m.sortedTargets { // the stand-in's lasting tasks serve at once
+	for _, x := range d.m.sortedTargets { // the stand-in's long-running tasks serve at once
 		for _, r := range x.runs {
 			r.percent = 100
 		}
@@ -92,7 +92,7 @@
 	before := len(leaving.runs)
 	is.True(before >= 2)
 	leaving.Draining = true
-	d.m.moveLasting(leaving, d.now)
+	d.m.moveLongRunning(leaving, d.now)
 	stopped := 0
 	for _, r := range leaving.runs {
 		if r.phase == stopping {
--- a/internal/work/dispatch/poll.go
+++ b/internal/work/dispatch/poll.go
@@ -110,7 +110,7 @@
 
 // pollWait returns how long a report of the target waits for an end.
 func (t *target) pollWait() time.Duration {
-	if t.mixesServingAndFilling() {
+	if t.mixesServingAndBestEffort() {
 		return paceWait
 	}
 	return maxPollWait
@@ -172,7 +172,7 @@
 	}
 	m.checkProgress(t, now)
 	m.pace(t, now)
-	m.moveLasting(t, now)
+	m.moveLongRunning(t, now)
 	if len(rep.Ended) < maxListedEnds {
 		m.releaseMissing(t, listed, p.Sent, now)
 	}
@@ -209,7 +209,7 @@
 	for _, r := range gone {
 		m.log.Decided("run not on its target", "target", t.ID, "task", r.Task, "run", r.Number, "phase", int(r.phase))
 		m.release(r, now)
-		m.failIfOnce(r, now)
+		m.failIfAtMostOnce(r, now)
 		m.stopGang(r, "a member is gone", now)
 	}
 }
@@ -272,7 +272,7 @@
 func (m *Machine) releaseAll(t *target, now time.Time) {
 	for _, r := range t.sortedRuns() {
 		m.release(r, now)
-		m.failIfOnce(r, now)
+		m.failIfAtMostOnce(r, now)
 	}
 }
 
--- a/internal/work/dispatch/run.go
+++ b/internal/work/dispatch/run.go
@@ -37,7 +37,7 @@
 	resumedAt       string    // checkpoint that the start carried
 	checkpoint      string    // newest that was reported
 	ticket          string    // that the start carries
-	paceShare       int       // at which a filling run works, in percent
+	paceShare       int       // at which a best-effort run works, in percent
 	gauge           int       // as the target last reported it
 	percent         int
 	reportedAt      time.Time
--- a/internal/work/dispatch/target.go
+++ b/internal/work/dispatch/target.go
@@ -53,7 +53,7 @@
 	confirmedAck     int64              // acknowledged in the poll that was answered last
 	ackDue           time.Time          // when unacknowledged ends are to be acknowledged at the latest; zero: none
 	health           soundness.Record
-	pacedAt          time.Time // when its filling tasks were paced last
+	pacedAt          time.Time // when its best-effort tasks were paced last
 	remainsToldAt    time.Time // when it said how long it stays
 	suspendedUntil   time.Time // gets no work until then
 }
