--- a/internal/work/dispatch/command.go
+++ b/internal/work/dispatch/command.go
@@ -34,7 +34,7 @@
 // one extra poll.
 type Poll struct {
 	Target order.Address
-	Order  order.Hold
+	Order  order.Poll
 	Class  limiter.Class // in which it waits for its turn, unless it waits for an end
 	Extra  bool          // beside a poll that may have been lost
 	Sent   time.Time     // when the machine asked for it
--- a/internal/work/dispatch/ends.go
+++ b/internal/work/dispatch/ends.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"guavaglade.example/guavaglade/internal/fleet/health"
 	"guavaglade.example/guavaglade/internal/fleet/order"
-	"guavaglade.example/guavaglade/internal/fleet/soundness"
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
@@ -74,11 +74,11 @@
 	}
 	j := m.jobs[e.Run.Task.Job]
 	if j == nil {
-		m.log.Decided("end of an unknown job", "target", t.ID, "task", e.Run.Task, "run", e.Run.Number, "how", e.How)
+		m.log.Decided("end of an unknown job", "target", t.ID, "task", e.Run.Task, "run", e.Run.Number, "how", e.Reason)
 		t.unsavedEnds = append(t.unsavedEnds, unsavedEnd{number: e.Number})
 		return
 	}
-	m.log.Decided("run ended", "target", t.ID, "task", e.Run.Task, "run", e.Run.Number, "how", e.How, "number", e.Number, "checkpoint", e.Checkpoint)
+	m.log.Decided("run ended", "target", t.ID, "task", e.Run.Task, "run", e.Run.Number, "how", e.Reason, "number", e.Number, "checkpoint", e.Checkpoint)
 	if x := j.findTask(e.Run.Task); x != nil {
 		x.highestRun = max(x.highestRun, e.Run.Number)
 		x.step.gangRun = max(x.step.gangRun, e.Run.Number)
@@ -88,7 +88,7 @@
 	}
 	if r != nil {
 		m.failIfAtMostOnce(r, now)
-		if e.How == order.Broken {
+		if e.Reason == order.GangBroken {
 			m.recordBrokenMember(r, now)
 		}
 	}
@@ -106,19 +106,19 @@
 	if s.job.finished() || x.done {
 		return false
 	}
-	if e.How == order.Done && !s.spec.LongRunning {
+	if e.Reason == order.Done && !s.spec.LongRunning {
 		if r != nil {
-			t.health.Succeeded(r.beganAt, now)
+			t.health.ObserveSuccess(r.beganAt, now)
 		}
 		m.taskDone(x, e.Run.Number, now)
 		return true
 	}
 	saved := x.saveCheckpoint(e.Checkpoint)
-	if e.How == order.Failed && !s.spec.LongRunning {
+	if e.Reason == order.Failed && !s.spec.LongRunning {
 		m.runFailed(x, t, r, e.Run.Number, now)
 		return true
 	}
-	if e.How == order.Failed {
+	if e.Reason == order.Failed {
 		x.pausedUntil = now.Add(longRunningPause)
 	}
 	return saved
@@ -235,14 +235,14 @@
 	}
 	s.recordFailedTarget(t)
 	worked := m.timeWorked(r, now)
-	early := soundness.Early(worked, s.spec.Estimate)
+	early := health.EarlyFailure(worked, s.spec.Estimate)
 	if early {
 		a.earlyFailureAt = now
 	}
 	first := len(a.failed) == 1 // one that failed before is perhaps itself at fault
 	if s.implicatesTargets() && (first || early) {
-		wasQuarantined := t.health.Condemned(now)
-		t.health.Failed(worked, s.spec.Estimate, now)
+		wasQuarantined := t.health.Quarantined(now)
+		t.health.ObserveFailure(worked, s.spec.Estimate, now)
 		m.logIfQuarantined(t, wasQuarantined, "a run failed there after "+worked.String(), x.id(), now)
 	}
 	if len(a.failed) >= s.job.spec.MaxAttempts {
--- a/internal/work/dispatch/fit.go
+++ b/internal/work/dispatch/fit.go
@@ -14,7 +14,7 @@
 
 // eligibleWithoutAdvice reports the same, whether or not there is leave to run the step there.
 func (s *step) eligibleWithoutAdvice(t *target, now time.Time) bool {
-	return t.acceptsWork(now) && t.Service == s.job.spec.Service && t.Has(s.spec.Label) && !t.excludedByProbation(s, now)
+	return t.acceptsWork(now) && t.Service == s.job.spec.Service && t.HasLabel(s.spec.Label) && !t.excludedByProbation(s, now)
 }
 
 // perTargetLeft returns how many more tasks of the step the limit per target allows.
@@ -74,7 +74,7 @@
 	remaining := free.Minus(charge)
 	f := fit{interference: t.interference(x.step), left: remaining.Accelerators, cpu: remaining.CPU, stranded: m.stranded(remaining) - m.stranded(free)}
 	switch {
-	case x.attempts().avoids(t) || t.health.Doubted(now) || t.health.Slow(now):
+	case x.attempts().avoids(t) || t.health.Suspect(now) || t.health.Slow(now):
 		f.risk = 2
 	case x.onLastAttempt() && !t.health.ProvenSince(now.Add(-provenTime)):
 		f.risk = 1
--- a/internal/work/dispatch/health.go
+++ b/internal/work/dispatch/health.go
@@ -44,13 +44,13 @@
 	if r.provedHealthy || r.phase != running || r.task.step.spec.LongRunning || !r.allMembersRunning() {
 		return
 	}
-	r.provedHealthy = r.target.health.Survived(r.beganAt, m.timeWorked(r, now), r.task.step.spec.Estimate, now)
+	r.provedHealthy = r.target.health.ObserveProgress(r.beganAt, m.timeWorked(r, now), r.task.step.spec.Estimate, now)
 }
 
 // excludedByProbation reports whether a target on trial may not have a task of the step: it
 // has its one run already, or the step is a gang, which fails whole with one member.
 func (t *target) excludedByProbation(s *step, now time.Time) bool {
-	if !t.health.OnTrial(now) {
+	if !t.health.OnProbation(now) {
 		return false
 	}
 	if s.spec.Gang {
@@ -82,7 +82,7 @@
 
 // logIfQuarantined tells of a target that was condemned by a sign that was just taken in.
 func (m *Machine) logIfQuarantined(t *target, wasQuarantined bool, reason string, id graph.TaskID, now time.Time) {
-	if !wasQuarantined && t.health.Condemned(now) {
+	if !wasQuarantined && t.health.Quarantined(now) {
 		m.log.Decided("target condemned", "target", t.ID, "reason", reason, "task", id, "runs", len(t.runs))
 	}
 }
--- a/internal/work/dispatch/orders.go
+++ b/internal/work/dispatch/orders.go
@@ -112,7 +112,7 @@
 			r.orderAnsweredAt = now
 			m.runBegan(r, now)
 		}
-	case errors.Is(err, order.ErrOtherLife):
+	case errors.Is(err, order.ErrOtherIncarnation):
 		m.incarnationEnded(t, now)
 	case errors.Is(err, order.ErrUnanswered):
 		r.unanswered = true
@@ -147,7 +147,7 @@
 		t.suspendedUntil = now.Add(unhealthyPause)
 	case errors.Is(err, order.ErrLate):
 		t.clockMS = 0 // the next report tells the clock
-	case errors.Is(err, order.ErrNoRoom):
+	case errors.Is(err, order.ErrNoCapacity):
 		t.suspendedUntil = now.Add(noCapacityPause)
 	case errors.Is(err, order.ErrNoTicket):
 		delete(r.task.step.permits.tickets, t.ID)
@@ -216,7 +216,7 @@
 // their targets answer.
 func (m *Machine) startClass(s *step, now time.Time) limiter.Class {
 	if m.guaranteeDue(s, now) {
-		return limiter.Due
+		return limiter.UrgentStart
 	}
 	return limiter.Start
 }
@@ -241,7 +241,7 @@
 	case errors.Is(err, order.ErrFenced):
 		m.fenced(t, "stop")
 		return
-	case errors.Is(err, order.ErrOtherLife):
+	case errors.Is(err, order.ErrOtherIncarnation):
 		m.incarnationEnded(t, now)
 		return
 	}
--- a/internal/work/dispatch/poll.go
+++ b/internal/work/dispatch/poll.go
@@ -61,7 +61,7 @@
 // sendExtraPoll asks for a report beside the poll that is outstanding.
 func (m *Machine) sendExtraPoll(t *target, now time.Time) {
 	t.extraPollPending, t.extraPollSentAt = true, now
-	m.commands = append(m.commands, Poll{Target: t.address(), Order: order.Hold{Term: m.term, Acked: t.acked}, Class: t.class(limiter.Report), Extra: true, Sent: now})
+	m.commands = append(m.commands, Poll{Target: t.address(), Order: order.Poll{Term: m.term, Acked: t.acked}, Class: t.class(limiter.Report), Extra: true, Sent: now})
 }
 
 // pollZone asks the targets of a zone that have missed something for a report, now that
@@ -127,7 +127,7 @@
 }
 
 func (m *Machine) sendPoll(t *target, wait time.Duration, now time.Time) {
-	h := order.Hold{Term: m.term, Acked: t.acked}
+	h := order.Poll{Term: m.term, Acked: t.acked}
 	if t.reach == reachable { // a silent target's lease must come to an end
 		h.Wait = wait
 		if t.clockMS != 0 {
@@ -226,7 +226,7 @@
 	case errors.Is(err, order.ErrFenced):
 		m.fenced(t, "hold")
 		return
-	case errors.Is(err, order.ErrOtherLife):
+	case errors.Is(err, order.ErrOtherIncarnation):
 		m.incarnationEnded(t, now)
 	case t.reportedAt.After(p.Sent):
 		// It answered another one since: only this one was lost.
--- a/internal/work/dispatch/straggler.go
+++ b/internal/work/dispatch/straggler.go
@@ -46,8 +46,8 @@
 // runStalled takes in that a run stands still.
 func (m *Machine) runStalled(r *run, now time.Time) {
 	since := now.Sub(r.progressedAt)
-	wasQuarantined := r.target.health.Condemned(now)
-	r.target.health.StoodStill(now)
+	wasQuarantined := r.target.health.Quarantined(now)
+	r.target.health.ObserveStall(now)
 	m.logIfQuarantined(r.target, wasQuarantined, "a run stands still there", r.Task, now)
 	if !r.stalled {
 		r.stalled = true
@@ -140,7 +140,7 @@
 		return false
 	}
 	expected := speeds.expectedSpeed(r.target)
-	r.target.health.Ran(speed/expected, now)
+	r.target.health.ObserveSpeed(speed/expected, now)
 	if !r.target.health.Slow(now) || !r.task.step.spec.Checkpointing {
 		return false
 	}
@@ -209,7 +209,7 @@
 // somewhat longer than they must.
 func (m *Machine) outlastsTarget(r *run, now time.Time) bool {
 	remaining := r.expectedLeft(now)
-	stays := time.Duration(r.target.Remains)*time.Millisecond - now.Sub(r.target.remainsToldAt)
+	stays := time.Duration(r.target.RemainingMS)*time.Millisecond - now.Sub(r.target.remainsToldAt)
 	if r.task.step.spec.Checkpointing && !r.task.step.spec.Gang {
 		return remaining > stays
 	}
--- a/internal/work/dispatch/warmup_test.go
+++ b/internal/work/dispatch/warmup_test.go
@@ -12,7 +12,7 @@
 	list := d.p.Roster()
 	for i := range list {
 		if list[i].Rack == rack {
-			list[i].Cold = cold.Milliseconds()
+			list[i].ColdRemainingMS = cold.Milliseconds()
 		}
 	}
 	d.m.UpdateTargets(list, d.now, d.now)
