--- a/internal/work/dispatch/fit_test.go
+++ b/internal/work/dispatch/fit_test.go
@@ -15,13 +15,13 @@
 // them.
 func TestLargeTasksAreSpread(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 8, DefaultBounds())
+	d := newSimulation(t, 1, 8, DefaultBounds())
 	d.submit(2, 6*time.Second, small(1))
 	d.run(100 * time.Millisecond)
 	d.submit(1, 8*time.Second, large(4, 1))
 	d.run(100 * time.Millisecond)
 	most := 0
-	for _, x := range d.m.byID {
+	for _, x := range d.m.sortedTargets {
 		n := 0
 		for r := range x.runs {
 			if d.m.jobs[r.Task.Job].spec.Priority == 1 {
@@ -40,15 +40,15 @@
 
 // Small tasks fill targets on which something runs before they break into an
 // empty one, so whole targets stay free for gangs of large ones.
-func TestWholeTargetsAreKept(t *testing.T) {
+func TestSmallTasksArePackedOnUsedTargets(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 2, 4, DefaultBounds())
+	d := newSimulation(t, 2, 4, DefaultBounds())
 	for range 8 {
 		d.submit(2, 5*time.Second, small(2))
 		d.run(50 * time.Millisecond)
 	}
 	empty := 0
-	for _, x := range d.m.byID {
+	for _, x := range d.m.sortedTargets {
 		if len(x.runs) == 0 {
 			empty++
 		}
@@ -61,7 +61,7 @@
 // A gang that wants one rack and is larger than any runs over two, slower,
 // rather than never.
 func TestGangLargerThanARack(t *testing.T) {
-	d := newDrive(t, 2, 2, DefaultBounds())
+	d := newSimulation(t, 2, 2, DefaultBounds())
 	d.submit(1, 2*time.Second, large(4, 8))
 	d.run(10 * time.Second)
 	d.check()
@@ -71,12 +71,12 @@
 // room runs there.
 func TestDataRack(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 2, 2, DefaultBounds())
+	d := newSimulation(t, 2, 2, DefaultBounds())
 	s := small(1)
 	s.DataRack = "r1-1"
 	d.submit(2, 2*time.Second, s)
 	d.run(100 * time.Millisecond)
-	for _, x := range d.m.byID {
+	for _, x := range d.m.sortedTargets {
 		if x.Rack != "r1-1" {
 			is.Equal(len(x.runs), 0)
 		}
@@ -86,8 +86,8 @@
 }
 
 // Tasks of a step that are to be apart are, also while they are started again.
-func TestTasksApart(t *testing.T) {
-	d := newDrive(t, 1, 4, DefaultBounds())
+func TestPerTargetLimit(t *testing.T) {
+	d := newSimulation(t, 1, 4, DefaultBounds())
 	s := small(8)
 	s.PerTarget = 2
 	d.submit(2, time.Second, s)
@@ -95,11 +95,11 @@
 	d.check()
 }
 
-func TestFitting(t *testing.T) {
+func TestTasksThatFit(t *testing.T) {
 	is := is.New(t)
 	room := graph.Resources{CPU: 64000, MemoryMB: 262144, Accelerators: 8}
-	is.Equal(fitting(graph.Resources{CPU: 26000, MemoryMB: 75000, Accelerators: 1}, room), 2)
-	is.Equal(fitting(graph.Resources{Accelerators: 8}, room), 1)
-	is.Equal(fitting(graph.Resources{MemoryMB: 300000}, room), 0)
-	is.Equal(fitting(graph.Resources{CPU: 1}, graph.Resources{CPU: -5}), 0)
+	is.Equal(tasksThatFit(graph.Resources{CPU: 26000, MemoryMB: 75000, Accelerators: 1}, room), 2)
+	is.Equal(tasksThatFit(graph.Resources{Accelerators: 8}, room), 1)
+	is.Equal(tasksThatFit(graph.Resources{MemoryMB: 300000}, room), 0)
+	is.Equal(tasksThatFit(graph.Resources{CPU: 1}, graph.Resources{CPU: -5}), 0)
 }
