--- a/internal/host/api/views.go
+++ b/internal/host/api/views.go
@@ -48,7 +48,7 @@
 // story answers with a job and what the leader decided about it in its term.
 func (v Views) story(w http.ResponseWriter, r *http.Request, by entry.Caller) {
 	id := jobOf(r)
-	s, known, err := v.station.Views().Story(r.Context(), id)
+	s, known, err := v.station.Views().History(r.Context(), id)
 	switch {
 	case err != nil:
 		unavailable(w, err)
--- /dev/null
+++ b/internal/host/rpc/leadercall.go
@@ -0,0 +1,58 @@
+package rpc
+
+import (
+	"context"
+
+	"guavaglade.example/guavaglade/internal/host/dispatcher"
+	"guavaglade.example/guavaglade/internal/report/view"
+	"guavaglade.example/guavaglade/internal/work/graph"
+)
+
+// stateReply is the leader's answer about the state of a job.
+type stateReply struct {
+	Status view.Told `json:"told"`
+	Known  bool      `json:"known"`
+}
+
+// callLeader returns the leader's answer to a call, or the result of local if this host
+// leads.
+func callLeader[T any](ctx context.Context, e *Endpoint, method string, in any, local func() (T, error)) (T, error) {
+	if e.election.OwnTerm() != nil {
+		return local()
+	}
+	var out T
+	row := e.election.Leader()
+	if row.Address == "" {
+		return out, dispatcher.ErrNotLeading
+	}
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	err := e.transport.Call(ctx, row.Address, method, in, &out)
+	return out, err
+}
+
+// empty is the result of a call without a result.
+type empty struct{}
+
+// Submitted notifies the leader of a job that was accepted and stored.
+func (e *Endpoint) Submitted(ctx context.Context, j *graph.Job) error {
+	_, err := callLeader(ctx, e, methodSubmitted, j, func() (empty, error) { return empty{}, e.dispatcher.Submitted(ctx, j) })
+	return err
+}
+
+// Cancelled notifies the leader of a job whose cancellation was stored.
+func (e *Endpoint) Cancelled(ctx context.Context, id graph.JobID) error {
+	_, err := callLeader(ctx, e, methodCancelled, id, func() (empty, error) { return empty{}, e.dispatcher.Cancelled(ctx, id) })
+	return err
+}
+
+// State asks the leader for the state of a job, and whether it knows the job.
+func (e *Endpoint) State(ctx context.Context, id graph.JobID) (view.Told, bool, error) {
+	out, err := callLeader(ctx, e, methodState, id, func() (stateReply, error) { return e.localState(ctx, id) })
+	return out.Status, out.Known, err
+}
+
+func (e *Endpoint) localState(ctx context.Context, id graph.JobID) (stateReply, error) {
+	status, known, err := e.dispatcher.State(ctx, id)
+	return stateReply{Status: status, Known: known}, err
+}
--- a/internal/host/station/station.go
+++ b/internal/host/station/station.go
@@ -16,9 +16,9 @@
 	"guavaglade.example/guavaglade/internal/fleet/order"
 	"guavaglade.example/guavaglade/internal/host/dispatcher"
 	"guavaglade.example/guavaglade/internal/host/entry"
-	"guavaglade.example/guavaglade/internal/host/exchange"
 	"guavaglade.example/guavaglade/internal/host/leader"
 	"guavaglade.example/guavaglade/internal/host/peer"
+	"guavaglade.example/guavaglade/internal/host/rpc"
 	"guavaglade.example/guavaglade/internal/host/steady"
 	"guavaglade.example/guavaglade/internal/platform/store"
 	"guavaglade.example/guavaglade/internal/report/burn"
@@ -64,7 +64,7 @@
 	zones    *evacuation.Register // of the rows that evacuate zones
 	currency *currency            // of what the keeper has
 	desk     *dispatcher.Dispatcher
-	exchange *exchange.Exchange
+	endpoint *rpc.Endpoint
 	election *leader.Election
 	entry    *entry.Entry
 	net      *peer.Net
@@ -123,15 +123,15 @@
 		desk = append(desk, dispatcher.WithAdviser(p.Adviser))
 	}
 	s.desk = dispatcher.New(s.store, order.NewCounted(p.Line, set.metrics), p.Roster, set.bounds, log, desk...)
-	s.exchange = exchange.New(
-		id.Peers, s.desk, s.keeper, s.store.Up, exchange.WithPower(id.Power), exchange.WithZone(id.Zone), exchange.WithLog(log),
-		exchange.WithStoreAnswered(s.store.LastSuccess),
-		exchange.WithAdopted(s.adopted), exchange.WithCounted(func() burn.Snapshot { return s.burn.Snapshot(time.Now()) }),
+	s.endpoint = rpc.New(
+		id.Peers, s.desk, s.keeper, s.store.Up, rpc.WithCores(id.Power), rpc.WithZone(id.Zone), rpc.WithLog(log),
+		rpc.WithStoreAnswered(s.store.LastSuccess),
+		rpc.WithAdopted(s.adopted), rpc.WithOutcomes(func() burn.Snapshot { return s.burn.Snapshot(time.Now()) }),
 	)
-	s.net = peer.New(s.exchange.Handle, set.peerTLS, nil, log)
-	s.election = leader.New(s.store, s.exchange, s.desk.Lead, holder, id.Peers, log, leader.WithCores(id.Power))
-	s.entry = entry.New(s.store, s.exchange, s.exchange, log)
-	s.exchange.Bind(s.net, s.election, s.entry)
+	s.net = peer.New(s.endpoint.Handle, set.peerTLS, nil, log)
+	s.election = leader.New(s.store, s.endpoint, s.desk.Lead, holder, id.Peers, log, leader.WithCores(id.Power))
+	s.entry = entry.New(s.store, s.endpoint, s.endpoint, log)
+	s.endpoint.Bind(s.net, s.election, s.entry)
 	return s
 }
 
@@ -161,7 +161,7 @@
 
 // Burn returns the burn report of all hosts that answer.
 func (s *Station) Burn(ctx context.Context) (burn.Report, error) {
-	counted, err := s.exchange.Burn(ctx)
+	counted, err := s.endpoint.Burn(ctx)
 	if err != nil {
 		return burn.Report{}, err
 	}
@@ -169,7 +169,7 @@
 }
 
 // Views returns what operators and clients read.
-func (s *Station) Views() *exchange.Exchange { return s.exchange }
+func (s *Station) Views() *rpc.Endpoint { return s.endpoint }
 
 // Store returns the store as the station reaches it.
 func (s *Station) Store() store.Store { return s.store }
@@ -206,7 +206,7 @@
 // be stored, as in a zone that is cut off, would refuse them all; if all hosts of
 // a zone say so, its clients go to the next zone.
 func (s *Station) Ready() bool {
-	return !s.stopping.Load() && s.keeper.Now() != nil && s.exchange.Serves()
+	return !s.stopping.Load() && s.keeper.Now() != nil && s.endpoint.CanServe()
 }
 
 // Figures of a planned stop.
--- a/internal/proof/deployment/rig_test.go
+++ b/internal/proof/deployment/rig_test.go
@@ -19,9 +19,9 @@
 	"guavaglade.example/guavaglade/internal/fleet/roster"
 	"guavaglade.example/guavaglade/internal/host/dispatcher"
 	"guavaglade.example/guavaglade/internal/host/entry"
-	"guavaglade.example/guavaglade/internal/host/exchange"
 	"guavaglade.example/guavaglade/internal/host/leader"
 	"guavaglade.example/guavaglade/internal/host/peer"
+	"guavaglade.example/guavaglade/internal/host/rpc"
 	"guavaglade.example/guavaglade/internal/platform/store"
 	"guavaglade.example/guavaglade/internal/standin/pool"
 	"guavaglade.example/guavaglade/internal/standin/rows"
@@ -125,7 +125,7 @@
 	h.line = pool.NewLine(r.shared, time.Millisecond, rand.New(rand.NewPCG(r.rnd.Uint64(), 3)))
 	gauge := store.NewMonitor(h.link, leader.RowKey, func(up bool, err error) { log.Info("store", "serves", up, "error", fmt.Sprint(err)) })
 	desk := dispatcher.New(gauge, h.line, r.shared, dispatch.DefaultBounds(), log, dispatcher.WithClock(time.Now))
-	x := exchange.New(h.address, desk, catalog.NewKeeper(nil), gauge.Up, exchange.WithPower(1))
+	x := rpc.New(h.address, desk, catalog.NewKeeper(nil), gauge.Up, rpc.WithCores(1))
 	h.net = peer.New(x.Handle, nil, r.wires.dial(h.address), logr.Discard())
 	h.election = leader.New(gauge, x, desk.Lead, fmt.Sprintf("%s#%d", name, life), h.address, log, leader.WithClock(time.Now), leader.WithRandom(r.draw()))
 	h.entry = entry.New(gauge, x, x, log)
