--- a/internal/host/rpc/endpoint.go
+++ b/internal/host/rpc/endpoint.go
@@ -79,10 +79,10 @@
 type Dispatcher interface {
 	Submitted(ctx context.Context, j *graph.Job) error
 	Cancelled(ctx context.Context, id graph.JobID) error
-	State(ctx context.Context, id graph.JobID) (status view.Told, known bool, err error)
+	State(ctx context.Context, id graph.JobID) (status view.JobStatus, known bool, err error)
 	Pending(ctx context.Context, queue string) (int, error)
 	Jobs(ctx context.Context, account string) ([]view.Job, error)
-	Story(ctx context.Context, id graph.JobID) (history view.Story, known bool, err error)
+	Story(ctx context.Context, id graph.JobID) (history view.History, known bool, err error)
 	Fleet(ctx context.Context) (view.Fleet, error)
 }
 
--- a/internal/host/rpc/endpoint_test.go
+++ b/internal/host/rpc/endpoint_test.go
@@ -39,17 +39,18 @@
 	return nil
 }
 
-func (d *testDispatcher) Submitted(context.Context, *graph.Job) error      { return d.err() }
-func (d *testDispatcher) Cancelled(context.Context, graph.JobID) error     { return d.err() }
-func (d *testDispatcher) Pending(context.Context, string) (int, error)     { return d.pending, d.err() }
+func (d *testDispatcher) Submitted(context.Context, *graph.Job) error  { return d.err() }
+func (d *testDispatcher) Cancelled(context.Context, graph.JobID) error { return d.err() }
+func (d *testDispatcher) Pending(context.Context, string) (int, error) { return d.pending, d.err() }
+
 func (d *testDispatcher) Fleet(context.Context) (view.Fleet, error)        { return view.Fleet{}, d.err() }
 func (d *testDispatcher) Jobs(context.Context, string) ([]view.Job, error) { return nil, d.err() }
-func (d *testDispatcher) State(context.Context, graph.JobID) (view.Told, bool, error) {
-	return view.Told{Queue: "refill"}, true, d.err()
+func (d *testDispatcher) State(context.Context, graph.JobID) (view.JobStatus, bool, error) {
+	return view.JobStatus{Queue: "refill"}, true, d.err()
 }
 
-func (d *testDispatcher) Story(context.Context, graph.JobID) (view.Story, bool, error) {
-	return view.Story{}, true, d.err()
+func (d *testDispatcher) Story(context.Context, graph.JobID) (view.History, bool, error) {
+	return view.History{}, true, d.err()
 }
 
 // testElection implements rpc.Election.
--- a/internal/host/rpc/leadercall.go
+++ b/internal/host/rpc/leadercall.go
@@ -10,8 +10,8 @@
 
 // stateReply is the leader's answer about the state of a job.
 type stateReply struct {
-	Status view.Told `json:"told"`
-	Known  bool      `json:"known"`
+	Status view.JobStatus `json:"told"`
+	Known  bool           `json:"known"`
 }
 
 // callLeader returns the leader's answer to a call, or the result of local if this host
@@ -47,7 +47,7 @@
 }
 
 // State asks the leader for the state of a job, and whether it knows the job.
-func (e *Endpoint) State(ctx context.Context, id graph.JobID) (view.Told, bool, error) {
+func (e *Endpoint) State(ctx context.Context, id graph.JobID) (view.JobStatus, bool, error) {
 	out, err := callLeader(ctx, e, methodState, id, func() (stateReply, error) { return e.localState(ctx, id) })
 	return out.Status, out.Known, err
 }
--- a/internal/host/rpc/views.go
+++ b/internal/host/rpc/views.go
@@ -12,8 +12,8 @@
 
 // historyReply is the leader's answer about the history of a job.
 type historyReply struct {
-	History view.Story `json:"story"`
-	Known   bool       `json:"known"`
+	History view.History `json:"story"`
+	Known   bool         `json:"known"`
 }
 
 // Jobs asks the leader for the jobs of a client account, or for all jobs if the account is
@@ -24,7 +24,7 @@
 
 // History asks the leader for a job with the decisions about it, and whether it knows the
 // job.
-func (e *Endpoint) History(ctx context.Context, id graph.JobID) (view.Story, bool, error) {
+func (e *Endpoint) History(ctx context.Context, id graph.JobID) (view.History, bool, error) {
 	out, err := callLeader(ctx, e, methodHistory, id, func() (historyReply, error) { return e.localHistory(ctx, id) })
 	return out.History, out.Known, err
 }
@@ -52,12 +52,12 @@
 }
 
 func (e *Endpoint) localInForce() []view.InForce {
-	list := []view.InForce{{Host: e.address, Version: e.keeper.Version(), Leads: true, StoreUp: e.storeUp(), Power: e.cores}}
+	list := []view.InForce{{Host: e.address, Version: e.keeper.Version(), Leads: true, StoreUp: e.storeUp(), Cores: e.cores}}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for address, w := range e.watchers {
 		if time.Since(w.at) <= watcherExpiry {
-			list = append(list, view.InForce{Host: address, Version: w.version, StoreUp: w.storeUp, Power: w.cores})
+			list = append(list, view.InForce{Host: address, Version: w.version, StoreUp: w.storeUp, Cores: w.cores})
 		}
 	}
 	view.SortInForce(list)
