--- a/internal/host/peer/doc.go
+++ b/internal/host/peer/doc.go
@@ -1,7 +1,7 @@
-// Package peer carries calls between the hosts of the system: JSON-RPC 2.0 over
-// TCP, over TLS if a configuration is given.
+// Package peer carries calls between the hosts of the system: JSON-RPC 2.0 over TCP, and
+// over TLS if it is configured.
 //
-// A Net keeps one connection to each peer and makes it when it is first needed.
-// A call that fails drops the connection, so the next one dials again,
-// unless the peer was heard on it meanwhile.
+// A Transport keeps one connection to each peer, which it opens when it is first needed. A
+// call that fails closes the connection, so that the next call dials again, unless the peer
+// sent something on the connection during the call.
 package peer
--- a/internal/host/rpc/endpoint.go
+++ b/internal/host/rpc/endpoint.go
@@ -88,7 +88,7 @@
 
 // Endpoint makes calls to peers and answers theirs.
 type Endpoint struct {
-	transport       *peer.Net
+	transport       *peer.Transport
 	address         string  // of this host, for peers
 	zone            string  // availability zone of this host; empty if unknown
 	cores           float64 // of this host
@@ -156,7 +156,7 @@
 }
 
 // Bind sets the dependencies that themselves depend on the endpoint.
-func (e *Endpoint) Bind(t *peer.Net, l Election, w JobWriter) {
+func (e *Endpoint) Bind(t *peer.Transport, l Election, w JobWriter) {
 	e.transport, e.election, e.writer = t, l, w
 }
 
--- a/internal/host/rpc/endpoint_test.go
+++ b/internal/host/rpc/endpoint_test.go
@@ -127,7 +127,7 @@
 			}
 			return nil, syscall.ECONNREFUSED
 		}
-		var transports []*peer.Net
+		var transports []*peer.Transport
 		for i := range hosts {
 			h := &host{address: fmt.Sprintf("10.0.0.%d:1", i), storeUp: true, accepted: make(chan net.Conn)}
 			hosts[i] = h
--- a/internal/host/station/station.go
+++ b/internal/host/station/station.go
@@ -67,7 +67,7 @@
 	endpoint *rpc.Endpoint
 	election *leader.Election
 	entry    *entry.Entry
-	net      *peer.Net
+	net      *peer.Transport
 	burn     *burn.Recorder // of jobs that ended while this host led
 	stopping atomic.Bool
 }
@@ -79,7 +79,7 @@
 	metrics tally.Scope
 	grace   time.Duration
 	bounds  dispatch.Bounds
-	peerTLS peer.Client // nil: peers are reached without TLS
+	peerTLS peer.ClientTLS // nil: peers are reached without TLS
 	unready time.Duration
 }
 
@@ -90,7 +90,7 @@
 func WithGrace(d time.Duration) Option { return func(o *options) { o.grace = d } }
 
 // WithPeerTLS sets how peers are reached over TLS.
-func WithPeerTLS(c peer.Client) Option { return func(o *options) { o.peerTLS = c } }
+func WithPeerTLS(c peer.ClientTLS) Option { return func(o *options) { o.peerTLS = c } }
 
 // WithUnreadyTime sets how long a planned stop goes on taking requests while the
 // balancer sees that the host is not ready, by default unreadyTime.
--- a/internal/proof/deployment/rig_test.go
+++ b/internal/proof/deployment/rig_test.go
@@ -61,7 +61,7 @@
 	line     *pool.Line
 	election *leader.Election
 	entry    *entry.Entry
-	net      *peer.Net
+	net      *peer.Transport
 	end      context.CancelFunc
 	over     chan struct{} // closed when its election has ended
 	dead     bool
