--- a/internal/host/leader/election_test.go
+++ b/internal/host/leader/election_test.go
@@ -53,7 +53,7 @@
 }
 
 // networkPeers implements leader.Peers for one host of a network. It answers as package
-// exchange does.
+// rpc does.
 type networkPeers struct {
 	noPeers
 	network *network
