--- a/internal/host/leader/election.go
+++ b/internal/host/leader/election.go
@@ -46,7 +46,7 @@
 	log         logr.Logger
 	mu          sync.Mutex
 	row         Row           // as last read, written or reported by a peer
-	version     int64         // of row in the store
+	version     int64         // of row in the store; 0 if a peer reported the row
 	changedAt   time.Time     // when this host first saw that row, or last reset the lease
 	storeLostAt time.Time     // when the store last became unavailable to this host
 	term        *Term         // nil while another host leads
