--- a/internal/fleet/health/doc.go
+++ b/internal/fleet/health/doc.go
@@ -1,8 +1,8 @@
-// Package health judges targets by what becomes of the tasks on them.
+// Package health rates targets by the outcome of the runs on them.
 //
-// A target may fail everything that it starts, let it stand still or run it
-// slowly, and report itself well all the while. Tasks fail by their own fault,
-// too, and estimates of their run time are rough; so one sign is a doubt and only
-// several are a verdict. Doubt fades with time, since such troubles pass and a
-// target that gets no work shows no signs.
+// A target may fail, stall or slow down everything it runs and still report itself
+// healthy. Runs also fail through their own fault, and estimates of run time are rough;
+// so one fault makes a target suspect, and only several quarantine it. Evidence decays
+// with time, because such faults are transient and a target without work produces no
+// evidence.
 package health
