--- a/internal/fleet/order/advice.go
+++ b/internal/fleet/order/advice.go
@@ -7,16 +7,15 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// Permit is leave to run a step on a target.
+// Permit allows a step to run on a target.
 type Permit struct {
-	Target string // incarnation
-	Ticket string // that a start carries
+	Target string // ID of its incarnation
+	Ticket string // to be sent with a start
 }
 
-// Adviser knows which targets may run a step of a queue whose policy allows only
-// some.
+// Adviser decides which targets may run a step of a queue whose policy restricts them.
 type Adviser interface {
-	// Advise returns those of the targets that may run the step, and how long the
-	// tickets hold from when they were given.
+	// Advise returns a permit for each of the targets that may run the step, and how
+	// long the tickets are valid from when they were issued.
 	Advise(ctx context.Context, step graph.StepID, targets []string) ([]Permit, time.Duration, error)
 }
--- a/internal/fleet/order/counted.go
+++ b/internal/fleet/order/counted.go
@@ -10,13 +10,13 @@
 	"guavaglade.example/guavaglade/internal/report/metrics"
 )
 
-// outcomes are the outcomes by which orders are counted.
+// outcomes maps the values of the outcome label to the errors they count.
 var outcomes = map[string]error{
 	"fenced": ErrFenced, "staleRun": ErrStaleRun, "late": ErrLate, "noRoom": ErrNoCapacity, "noTicket": ErrNoTicket, "invalid": ErrInvalid,
 	"unhealthy": ErrUnhealthy, "otherLife": ErrOtherIncarnation, "unreached": ErrUnreached, "unanswered": ErrUnanswered,
 }
 
-// Counted passes orders on to a line, counts them by outcome and times them.
+// Counted is a Transport that counts orders by outcome and measures their latency.
 type Counted struct {
 	Transport
 	orders map[string]*orderMetrics
@@ -28,7 +28,7 @@
 	latency tally.Histogram
 }
 
-// NewCounted returns a line that counts in the scope.
+// NewCounted returns a transport that sends through the given one and reports to scope.
 func NewCounted(l Transport, scope tally.Scope) *Counted {
 	c := &Counted{Transport: l, orders: map[string]*orderMetrics{}}
 	for _, order := range []string{"start", "stop", "hold", "pace"} {
@@ -45,7 +45,7 @@
 	return c
 }
 
-func (m *orderMetrics) note(began time.Time, err error) {
+func (m *orderMetrics) observe(began time.Time, err error) {
 	m.latency.RecordDuration(time.Since(began))
 	if err == nil {
 		m.ok.Inc(1)
@@ -59,34 +59,34 @@
 	}
 }
 
-// Start implements Line.
+// Start implements Transport.
 func (c *Counted) Start(ctx context.Context, to Address, s Start) (int64, error) {
 	began := time.Now()
 	clock, err := c.Transport.Start(ctx, to, s)
-	c.orders["start"].note(began, err)
+	c.orders["start"].observe(began, err)
 	return clock, err
 }
 
-// Stop implements Line.
+// Stop implements Transport.
 func (c *Counted) Stop(ctx context.Context, to Address, r Run, term int64) (int64, error) {
 	began := time.Now()
 	clock, err := c.Transport.Stop(ctx, to, r, term)
-	c.orders["stop"].note(began, err)
+	c.orders["stop"].observe(began, err)
 	return clock, err
 }
 
-// Hold implements Line.
-func (c *Counted) Hold(ctx context.Context, to Address, h Poll) (Report, error) {
+// Poll implements Transport.
+func (c *Counted) Poll(ctx context.Context, to Address, p Poll) (Report, error) {
 	began := time.Now()
-	rep, err := c.Transport.Poll(ctx, to, h)
-	c.orders["hold"].note(began, err)
+	rep, err := c.Transport.Poll(ctx, to, p)
+	c.orders["hold"].observe(began, err)
 	return rep, err
 }
 
-// Pace implements Line.
+// Pace implements Transport.
 func (c *Counted) Pace(ctx context.Context, to Address, r Run, percent int, term int64) (int64, error) {
 	began := time.Now()
 	clock, err := c.Transport.Pace(ctx, to, r, percent, term)
-	c.orders["pace"].note(began, err)
+	c.orders["pace"].observe(began, err)
 	return clock, err
 }
--- a/internal/fleet/order/doc.go
+++ b/internal/fleet/order/doc.go
@@ -1,9 +1,8 @@
-// Package order is the way to the targets: start and stop runs of tasks, renew
-// their leases and read what runs and what ended.
+// Package order defines the orders that a leader sends to targets: start, stop and pace
+// runs of tasks, renew leases, and poll for what runs and what has ended.
 //
-// Every order carries the term of the leader that gives it as a fencing token;
-// a target does nothing for a lower token than the highest it has seen. All
-// that runs on a target is covered by one lease, a deadline on the target's own
-// clock that only moves on. An order without an answer may have been carried
-// out, or may be carried out seconds later.
+// Every order carries the leader's term as a fencing token; a target rejects a token
+// lower than the highest it has seen. One lease covers everything that runs on a target:
+// a deadline on the target's own clock that only moves forward. An order without an
+// answer may have been executed, or may be executed seconds later.
 package order
