--- a/internal/fleet/order/order.go
+++ b/internal/fleet/order/order.go
@@ -71,7 +71,7 @@
 	Failed         EndReason = "failed"  // through its own fault or the target's
 	Stopped        EndReason = "stopped" // by an order
 	Lapsed         EndReason = "lapsed"  // its lease expired
-	GangBroken     EndReason = "broken"  // another member of its gang ended without success
+	GangBroken     EndReason = "broken"  // another member of its gang ended
 	GangIncomplete EndReason = "alone"   // not all members of its gang started in time
 )
 
