--- a/internal/fleet/limiter/delay.go
+++ b/internal/fleet/limiter/delay.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Bounds of the time that an answer is waited for.
+// Bounds of the time-out of orders.
 const (
-	// leastPatience is a tenth of the time that gangs wait for their members.
-	leastPatience = 350 * time.Millisecond
-	// mostPatience leaves time to try again within it.
-	mostPatience = 1500 * time.Millisecond
+	// minTimeout is a tenth of the time in which a gang's members must have started.
+	minTimeout = 350 * time.Millisecond
+	// maxTimeout leaves time for a retry within that time.
+	maxTimeout = 1500 * time.Millisecond
 )
 
-// delays estimates how long answers take, by RFC 6298.
-type delays struct {
+// delayEstimate holds the smoothed delay of answers and its deviation, as in RFC 6298.
+type delayEstimate struct {
 	mean, deviation time.Duration
 }
 
-// note takes in what an answer took.
-func (d *delays) note(took time.Duration) {
+// observe adds the delay of an answer.
+func (d *delayEstimate) observe(took time.Duration) {
 	if d.mean == 0 {
 		d.mean, d.deviation = took, took/2
 		return
@@ -25,7 +25,7 @@
 	d.mean += (took - d.mean) / 8
 }
 
-// patience returns how long an answer is waited for.
-func (d *delays) patience() time.Duration {
-	return min(max(d.mean+4*d.deviation, leastPatience), mostPatience)
+// timeout returns how long to wait for an answer.
+func (d *delayEstimate) timeout() time.Duration {
+	return min(max(d.mean+4*d.deviation, minTimeout), maxTimeout)
 }
--- a/internal/fleet/limiter/limit.go
+++ b/internal/fleet/limiter/limit.go
@@ -2,55 +2,57 @@
 
 import "time"
 
-// Figures of the limit on orders in flight.
+// Parameters of the limit on orders in flight.
 const (
-	// leastLimit lets a few targets that do not answer hold up no others.
-	leastLimit = 4
-	// mostLimit is more than a host with a whole core can use.
-	mostLimit = 512
-	// firstLimit is where the limit begins: a gang of common size at once.
-	firstLimit = 16
-	// queueTarget is how long orders may queue on their way: much less than they may
-	// take, and more than a process waits for its turn on a busy host.
-	queueTarget = 60 * time.Millisecond
-	// limitGain is how many places more a whole limit of answers without a queue gives.
+	// minLimit keeps a few targets that do not answer from blocking the others.
+	minLimit = 4
+	// maxLimit is more than a host with a whole core can use.
+	maxLimit = 512
+	// initialLimit lets a gang of common size start at once.
+	initialLimit = 16
+	// targetQueueDelay is well below the time-out of orders, and above the time a process
+	// waits to be scheduled on a busy host.
+	targetQueueDelay = 60 * time.Millisecond
+	// limitGain is the growth of the limit over as many answers as it has places, if
+	// none of them queued.
 	limitGain = 4
-	// mostShrink bounds how much faster the limit shrinks than it grows.
-	mostShrink = 4
-	// baseFor is how long the least delay that was seen counts: a way may become
-	// longer for good, as under a new leader in another zone.
-	baseFor = 10 * time.Second
+	// maxShrink bounds how much faster the limit shrinks than it grows.
+	maxShrink = 4
+	// baseWindow is how long a minimum delay is remembered: the path may become longer
+	// for good, for example under a new leader in another zone.
+	baseWindow = 10 * time.Second
 )
 
-// limit is a limit that follows the delay of answers: what an order takes beyond the
-// least delay seen lately it has spent in queues, the host's own or the link's.
+// limit adapts to the delay of answers. The part of a delay above the recent minimum is
+// taken as queueing, on the host or on the link.
 type limit struct {
 	size      float64
-	base      time.Duration // least delay of this span and the one before
-	next      time.Duration // least delay of this span
-	spanUntil time.Time
+	base      time.Duration // minimum delay of the current window and the one before
+	nextBase  time.Duration // minimum delay of the current window
+	windowEnd time.Time
 }
 
-func newLimit() limit { return limit{size: firstLimit} }
+func newLimit() limit { return limit{size: initialLimit} }
 
-// answered takes in the delay of an answer. busy tells that the limit was in use:
-// what it could be is not known otherwise.
-func (l *limit) answered(delay time.Duration, busy bool, now time.Time) {
-	l.noteBase(delay, now)
-	off := float64(queueTarget-(delay-l.base)) / float64(queueTarget)
+// observe adjusts the limit to the delay of an answer. The limit grows only if it was
+// busy, that is, reached: answers below it do not show that the host can carry more.
+func (l *limit) observe(delay time.Duration, busy bool, now time.Time) {
+	l.updateBase(delay, now)
+	off := float64(targetQueueDelay-(delay-l.base)) / float64(targetQueueDelay)
 	if off > 0 && !busy {
 		return
 	}
-	l.size += max(off, -mostShrink) * limitGain / l.size
-	l.size = min(max(l.size, leastLimit), mostLimit)
+	l.size += max(off, -maxShrink) * limitGain / l.size
+	l.size = min(max(l.size, minLimit), maxLimit)
 }
 
-func (l *limit) noteBase(delay time.Duration, now time.Time) {
-	if !now.Before(l.spanUntil) {
-		l.base, l.next, l.spanUntil = l.next, 0, now.Add(baseFor)
+// updateBase tracks the minimum delay.
+func (l *limit) updateBase(delay time.Duration, now time.Time) {
+	if !now.Before(l.windowEnd) {
+		l.base, l.nextBase, l.windowEnd = l.nextBase, 0, now.Add(baseWindow)
 	}
-	if l.next == 0 || delay < l.next {
-		l.next = delay
+	if l.nextBase == 0 || delay < l.nextBase {
+		l.nextBase = delay
 	}
 	if l.base == 0 || delay < l.base {
 		l.base = delay
--- a/internal/fleet/limiter/limit_test.go
+++ b/internal/fleet/limiter/limit_test.go
@@ -9,104 +9,104 @@
 
 var start = time.Unix(1000, 0)
 
-// way is a link or a processor that serves orders one after the other.
-type way struct {
-	delay time.Duration // without a queue
-	each  time.Duration // that it is occupied by an order
+// link is a link or a processor that serves orders one after the other.
+type link struct {
+	delay       time.Duration // without a queue
+	serviceTime time.Duration // of one order
 }
 
-// settle returns the size of a limit, and the delay that it leads to, after a time in
-// which it was always in use.
-func (w way) settle(l limit, span time.Duration) (size float64, delay time.Duration) {
+// settle returns the size of a limit, and the resulting delay, after it was in full use
+// for a span of time.
+func (k link) settle(l limit, span time.Duration) (size float64, delay time.Duration) {
 	now := start
-	l.answered(w.delay, false, now) // before there was a queue
-	for until := start.Add(span); now.Before(until); now = now.Add(w.each) {
-		delay = max(w.delay, time.Duration(l.size)*w.each)
-		l.answered(delay, true, now)
+	l.observe(k.delay, false, now) // before there was a queue
+	for until := start.Add(span); now.Before(until); now = now.Add(k.serviceTime) {
+		delay = max(k.delay, time.Duration(l.size)*k.serviceTime)
+		l.observe(delay, true, now)
 	}
 	return l.size, delay
 }
 
-// Over ways of all sorts the limit uses what the way can carry, and the queue stays
-// near its target.
+// On links of different delay and throughput, the limit keeps the link busy and the
+// queueing delay near its target.
 func TestLimitSettles(t *testing.T) {
-	for _, w := range []way{
+	for _, k := range []link{
 		{2 * time.Millisecond, 7 * time.Millisecond},   // 2 Mbit/s and specs of 1,700 bytes
 		{3 * time.Millisecond, time.Millisecond},       // a fifth of a core
 		{40 * time.Millisecond, 4 * time.Millisecond},  // a far zone
 		{3 * time.Millisecond, 300 * time.Microsecond}, // a whole core
 	} {
 		is := is.New(t)
-		size, delay := w.settle(newLimit(), 9*time.Second)
-		is.True(size >= 0.9*float64(w.delay)/float64(w.each)) // the way is never idle
-		is.True(delay-w.delay <= queueTarget+2*w.each)
-		is.True(size <= mostLimit)
+		size, delay := k.settle(newLimit(), 9*time.Second)
+		is.True(size >= 0.9*float64(k.delay)/float64(k.serviceTime)) // the link is never idle
+		is.True(delay-k.delay <= targetQueueDelay+2*k.serviceTime)
+		is.True(size <= maxLimit)
 	}
 }
 
-// A way that turns ten times slower: the limit follows within a second or so, and does
-// not fall to nothing.
+// After a link becomes ten times slower, the limit shrinks within two seconds, but not
+// below its minimum.
 func TestLimitFollows(t *testing.T) {
 	is := is.New(t)
 	l := newLimit()
 	now := start
-	l.answered(2*time.Millisecond, false, now)
-	run := func(w way, span time.Duration) (delay time.Duration) {
-		for until := now.Add(span); now.Before(until); now = now.Add(w.each) {
-			delay = max(w.delay, time.Duration(l.size)*w.each)
-			l.answered(delay, true, now)
+	l.observe(2*time.Millisecond, false, now)
+	run := func(k link, span time.Duration) (delay time.Duration) {
+		for until := now.Add(span); now.Before(until); now = now.Add(k.serviceTime) {
+			delay = max(k.delay, time.Duration(l.size)*k.serviceTime)
+			l.observe(delay, true, now)
 		}
 		return delay
 	}
-	run(way{2 * time.Millisecond, time.Millisecond}, 3*time.Second)
-	delay := run(way{2 * time.Millisecond, 10 * time.Millisecond}, 2*time.Second)
-	is.True(delay <= 2*queueTarget)
-	is.True(l.size >= leastLimit)
+	run(link{2 * time.Millisecond, time.Millisecond}, 3*time.Second)
+	delay := run(link{2 * time.Millisecond, 10 * time.Millisecond}, 2*time.Second)
+	is.True(delay <= 2*targetQueueDelay)
+	is.True(l.size >= minLimit)
 }
 
-// A limit that is not in use says nothing of what it could be.
-func TestLimitStaysWithoutUse(t *testing.T) {
+// A limit that is not reached does not grow.
+func TestUnusedLimitStays(t *testing.T) {
 	is := is.New(t)
 	l := newLimit()
 	for i := range 1000 {
-		l.answered(2*time.Millisecond, false, start.Add(time.Duration(i)*time.Millisecond))
+		l.observe(2*time.Millisecond, false, start.Add(time.Duration(i)*time.Millisecond))
 	}
-	is.Equal(l.size, float64(firstLimit))
+	is.Equal(l.size, float64(initialLimit))
 }
 
-// Patience is the least at usual delays, grows with them, and has a bound.
-func TestPatience(t *testing.T) {
+// The time-out is minimal at usual delays, grows with them, and is bounded.
+func TestTimeout(t *testing.T) {
 	is := is.New(t)
-	var d delays
-	is.Equal(d.patience(), leastPatience)
+	var d delayEstimate
+	is.Equal(d.timeout(), minTimeout)
 	for range 50 {
-		d.note(3 * time.Millisecond)
+		d.observe(3 * time.Millisecond)
 	}
-	is.Equal(d.patience(), leastPatience)
+	is.Equal(d.timeout(), minTimeout)
 	for range 50 {
-		d.note(500 * time.Millisecond)
+		d.observe(500 * time.Millisecond)
 	}
-	is.True(d.patience() > 500*time.Millisecond)
+	is.True(d.timeout() > 500*time.Millisecond)
 	for range 50 {
-		d.note(20 * time.Second)
+		d.observe(20 * time.Second)
 	}
-	is.Equal(d.patience(), mostPatience)
+	is.Equal(d.timeout(), maxTimeout)
 }
 
-// What the host carries is measured while orders wait; a quiet time says nothing.
+// Throughput is measured only while orders wait.
 func TestRate(t *testing.T) {
 	is := is.New(t)
-	r := rate{perSecond: firstRate}
+	r := rate{perSecond: initialRate}
 	now := start
 	for range 2000 {
 		now = now.Add(10 * time.Millisecond)
-		r.note(true, now)
+		r.observe(true, now)
 	}
 	is.True(r.perSecond > 95 && r.perSecond < 105)
 	before := r.perSecond
 	for range 2000 {
 		now = now.Add(time.Second)
-		r.note(false, now)
+		r.observe(false, now)
 	}
 	is.Equal(r.perSecond, before)
 }
--- a/internal/fleet/limiter/limiter.go
+++ b/internal/fleet/limiter/limiter.go
@@ -6,235 +6,236 @@
 	"time"
 )
 
-// Class is the order in which waiting orders go.
+// Class is the priority class of an order.
 type Class int
 
-// The classes, the first ones first. Starts are of one class: a gang whose first
-// members have begun must not wait for other work.
+// The classes, in descending priority. All starts of a gang are of one class: once its
+// first members have started, the others must not wait behind other work.
 const (
-	Stop        Class = iota // frees room, and ends what must not go on
-	UrgentStart              // starts that must come in time, since that is guaranteed
-	Report                   // first reports and acknowledgements
-	Start                    //
+	Stop        Class = iota // frees capacity and ends runs that must not continue
+	UrgentStart              // starts that a guarantee requires in time
+	Report                   // polls that do not wait for an end
+	Start                    // other starts
 	Probe                    // orders to targets that do not answer
 	classes
 )
 
-// Times of a gate.
+// Parameters of the queue of orders.
 const (
-	// waitTarget is how long starts may be expected to wait: a small part of the time
-	// in which urgent work must begin.
-	waitTarget = 300 * time.Millisecond
-	// leastAhead is how many starts may wait in any case: what is placed together is
-	// also saved together.
-	leastAhead = 32
-	// slotDelays is how many times the usual delay an order keeps its place among
-	// those in flight, and leastSlot how long at least. A target that does not answer
-	// would else keep it until its time-out, and a zone that is cut off all places.
-	slotDelays = 4
-	// fairEvery: of so many places one goes to the order that has waited longest.
-	fairEvery = 4
-	leastSlot = 40 * time.Millisecond
+	// targetStartWait is the wait that starts should not exceed: a small part of the time
+	// within which urgent work must start.
+	targetStartWait = 300 * time.Millisecond
+	// minPendingStarts lets starts that are placed together also be saved together.
+	minPendingStarts = 32
+	// An order counts against the limit for at most expiryDelays mean delays, but at
+	// least minExpiry. Without that bound, orders to targets that do not answer would
+	// count until their time-outs, and an unreachable zone would use up the whole limit.
+	expiryDelays = 4
+	// fairnessInterval is how often the order that has waited longest is admitted: once
+	// in so many admissions.
+	fairnessInterval = 4
+	minExpiry        = 40 * time.Millisecond
 )
 
-// Limiter lets orders pass, so many at once. It is safe for several goroutines.
+// Limiter limits the number of orders in flight. It is safe for concurrent use.
 type Limiter struct {
-	clock   func() time.Time
-	mu      sync.Mutex
-	limit   limit
-	delays  delays
-	spent   delays // from when orders came to when they were answered
-	rate    rate
-	busy    int // places in use, at most the limit but for what it lost since
-	waiting [classes][]*waiter
-	// admitted counts the orders that waited and were given a place.
+	clock    func() time.Time
+	mu       sync.Mutex
+	limit    limit
+	delays   delayEstimate
+	latency  delayEstimate // from the arrival of orders to their answers
+	rate     rate
+	inFlight int // exceeds the limit only after the limit has shrunk
+	waiting  [classes][]*waiter
+	// admitted counts the orders that were admitted after a wait.
 	admitted int
 }
 
-// waiter is an order that waits for a place.
+// waiter is an order that waits to be admitted.
 type waiter struct {
-	since time.Time
-	ready chan struct{} // closed when it has its place
+	enqueuedAt time.Time
+	ready      chan struct{} // closed when it is admitted
 }
 
-// NewLimiter returns a gate that measures delays by the clock.
+// NewLimiter returns a limiter that measures delays by the clock.
 func NewLimiter(clock func() time.Time) *Limiter {
-	return &Limiter{clock: clock, limit: newLimit(), rate: rate{perSecond: firstRate}}
+	return &Limiter{clock: clock, limit: newLimit(), rate: rate{perSecond: initialRate}}
 }
 
-// Acquire waits for a place. The caller calls the pass's Done when the order was
-// answered or given up. An error means that the context ended.
-func (g *Limiter) Acquire(ctx context.Context, c Class) (*InFlight, error) {
-	g.mu.Lock()
-	if g.busy < int(g.limit.size) && g.queued(c) == 0 {
-		defer g.mu.Unlock()
-		g.busy++
-		return g.newPass(g.clock()), nil
+// Acquire waits until an order of the class may be sent. The caller must call Done when
+// the order was answered or given up. Acquire fails only if ctx ends.
+func (l *Limiter) Acquire(ctx context.Context, c Class) (*InFlight, error) {
+	l.mu.Lock()
+	if l.inFlight < int(l.limit.size) && l.queuedThrough(c) == 0 {
+		defer l.mu.Unlock()
+		l.inFlight++
+		return l.newInFlight(l.clock()), nil
 	}
-	w := &waiter{since: g.clock(), ready: make(chan struct{})}
-	g.waiting[c] = append(g.waiting[c], w)
-	g.mu.Unlock()
+	w := &waiter{enqueuedAt: l.clock(), ready: make(chan struct{})}
+	l.waiting[c] = append(l.waiting[c], w)
+	l.mu.Unlock()
 	select {
 	case <-w.ready:
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return g.newPass(w.since), nil
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		return l.newInFlight(w.enqueuedAt), nil
 	case <-ctx.Done():
-		g.leave(c, w)
+		l.cancel(c, w)
 		return nil, ctx.Err()
 	}
 }
 
-// leave takes out an order that waits no longer.
-func (g *Limiter) leave(c Class, w *waiter) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for i, o := range g.waiting[c] {
+// cancel removes a waiter whose context has ended.
+func (l *Limiter) cancel(c Class, w *waiter) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for i, o := range l.waiting[c] {
 		if o == w {
-			g.waiting[c] = append(g.waiting[c][:i], g.waiting[c][i+1:]...)
+			l.waiting[c] = append(l.waiting[c][:i], l.waiting[c][i+1:]...)
 			return
 		}
 	}
-	g.busy-- // it was given its place meanwhile
-	g.admit()
+	l.inFlight-- // it was admitted in the meantime
+	l.admit()
 }
 
-// queued returns how many orders of a class and those before it wait.
-func (g *Limiter) queued(c Class) int {
+// queuedThrough returns how many orders of the class and of higher classes wait.
+func (l *Limiter) queuedThrough(c Class) int {
 	n := 0
 	for i := range c + 1 {
-		n += len(g.waiting[i])
+		n += len(l.waiting[i])
 	}
 	return n
 }
 
-// admit gives free places to those that wait: in the order of their classes, but
-// each so many times to the one that has waited longest, so that no class starves.
-func (g *Limiter) admit() {
-	for g.busy < int(g.limit.size) && g.queued(classes-1) > 0 {
-		g.admitted++
-		c := g.first()
-		if g.admitted%fairEvery == 0 {
-			c = g.longest()
+// admit admits waiting orders up to the limit, by class. Every fairnessInterval-th time it
+// admits the one that has waited longest, so that no class starves.
+func (l *Limiter) admit() {
+	for l.inFlight < int(l.limit.size) && l.queuedThrough(classes-1) > 0 {
+		l.admitted++
+		c := l.firstWaiting()
+		if l.admitted%fairnessInterval == 0 {
+			c = l.longestWaiting()
 		}
-		w := g.waiting[c][0]
-		g.waiting[c] = g.waiting[c][1:]
-		g.busy++
+		w := l.waiting[c][0]
+		l.waiting[c] = l.waiting[c][1:]
+		l.inFlight++
 		close(w.ready)
 	}
 }
 
-// first returns the first class in which an order waits; one must.
-func (g *Limiter) first() Class {
+// firstWaiting returns the highest class in which an order waits. At least one must wait.
+func (l *Limiter) firstWaiting() Class {
 	c := Class(0)
-	for len(g.waiting[c]) == 0 {
+	for len(l.waiting[c]) == 0 {
 		c++
 	}
 	return c
 }
 
-// longest returns the class of the order that has waited longest; one must wait.
-func (g *Limiter) longest() Class {
-	best := g.first()
-	for c, list := range g.waiting {
-		if len(list) > 0 && list[0].since.Before(g.waiting[best][0].since) {
+// longestWaiting returns the class of the order that has waited longest. At least one
+// must wait.
+func (l *Limiter) longestWaiting() Class {
+	best := l.firstWaiting()
+	for c, list := range l.waiting {
+		if len(list) > 0 && list[0].enqueuedAt.Before(l.waiting[best][0].enqueuedAt) {
 			best = Class(c)
 		}
 	}
 	return best
 }
 
-// Timeout returns how long an answer should be waited for.
-func (g *Limiter) Timeout() time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.delays.patience()
+// Timeout returns how long to wait for the answer to an order.
+func (l *Limiter) Timeout() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.delays.timeout()
 }
 
-// MeanLatency returns how long an order usually takes, its wait in the gate counted in.
-func (g *Limiter) MeanLatency() time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.spent.mean
+// MeanLatency returns the mean time from Acquire to the answer of an order.
+func (l *Limiter) MeanLatency() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.latency.mean
 }
 
-// MaxPendingStarts returns how many starts may be on their way or wait, so that the last of them
-// waits no longer than it should.
-func (g *Limiter) MaxPendingStarts() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return max(leastAhead, int(g.rate.perSecond*waitTarget.Seconds()))
+// MaxPendingStarts returns how many starts may be in flight or waiting without the last
+// of them waiting longer than targetStartWait.
+func (l *Limiter) MaxPendingStarts() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return max(minPendingStarts, int(l.rate.perSecond*targetStartWait.Seconds()))
 }
 
-// Stats is what a gate shows of itself.
+// Stats describes the state of a limiter.
 type Stats struct {
 	Limit       int
 	Waiting     int
-	LongestWait time.Duration // that an order has waited so far
-	Delay       time.Duration // usual, of answers
-	Rate        float64       // orders a second that the host carries
-}
-
-// Stats returns the gate's load.
-func (g *Limiter) Stats() Stats {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	l := Stats{Limit: int(g.limit.size), Waiting: g.queued(classes - 1), Delay: g.delays.mean, Rate: g.rate.perSecond}
-	now := g.clock()
-	for _, list := range g.waiting {
+	LongestWait time.Duration // so far, of the orders that wait
+	Delay       time.Duration // mean, of answers
+	Rate        float64       // throughput of the host in orders per second
+}
+
+// Stats returns the current state.
+func (l *Limiter) Stats() Stats {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	s := Stats{Limit: int(l.limit.size), Waiting: l.queuedThrough(classes - 1), Delay: l.delays.mean, Rate: l.rate.perSecond}
+	now := l.clock()
+	for _, list := range l.waiting {
 		if len(list) > 0 {
-			l.LongestWait = max(l.LongestWait, now.Sub(list[0].since))
+			s.LongestWait = max(s.LongestWait, now.Sub(list[0].enqueuedAt))
 		}
 	}
-	return l
+	return s
 }
 
-// InFlight is an order's place among those in flight.
+// InFlight is an order in flight.
 type InFlight struct {
-	gate  *Limiter
-	came  time.Time // when the order came to the gate
-	began time.Time // when it was sent
-	timer *time.Timer
-	freed bool
+	limiter   *Limiter
+	arrivedAt time.Time // when Acquire was called
+	sentAt    time.Time
+	timer     *time.Timer
+	released  bool // no longer counts against the limit
 }
 
-// newPass returns a pass for an order that came at a time and is sent now.
-func (g *Limiter) newPass(came time.Time) *InFlight {
-	p := &InFlight{gate: g, came: came, began: g.clock()}
-	p.timer = time.AfterFunc(max(slotDelays*g.delays.mean, leastSlot), p.expire)
-	return p
+// newInFlight returns an order that arrived at the given time and is sent now.
+func (l *Limiter) newInFlight(arrivedAt time.Time) *InFlight {
+	f := &InFlight{limiter: l, arrivedAt: arrivedAt, sentAt: l.clock()}
+	f.timer = time.AfterFunc(max(expiryDelays*l.delays.mean, minExpiry), f.expire)
+	return f
 }
 
-// expire gives the place to others though the order has not been answered.
-func (p *InFlight) expire() {
-	p.gate.mu.Lock()
-	defer p.gate.mu.Unlock()
-	p.free()
+// expire releases an order that has not been answered within its expiry.
+func (f *InFlight) expire() {
+	f.limiter.mu.Lock()
+	defer f.limiter.mu.Unlock()
+	f.release()
 }
 
-func (p *InFlight) free() {
-	if p.freed {
+func (f *InFlight) release() {
+	if f.released {
 		return
 	}
-	p.freed = true
-	p.gate.busy--
-	p.gate.admit()
-}
-
-// Done ends the order. Only answers tell of delays: one that does not come may be
-// the target's fault.
-func (p *InFlight) Done(answered bool) {
-	g := p.gate
-	p.timer.Stop()
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	f.released = true
+	f.limiter.inFlight--
+	f.limiter.admit()
+}
+
+// Done ends the order. Only an answered order counts as a measurement of delay: a missing
+// answer may be the target's fault.
+func (f *InFlight) Done(answered bool) {
+	l := f.limiter
+	f.timer.Stop()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if answered {
-		now := g.clock()
-		waiting := g.queued(classes-1) > 0
-		g.delays.note(now.Sub(p.began))
-		g.spent.note(now.Sub(p.came))
-		g.limit.answered(now.Sub(p.began), waiting || g.busy >= int(g.limit.size), now)
-		g.rate.note(waiting, now)
+		now := l.clock()
+		waiting := l.queuedThrough(classes-1) > 0
+		l.delays.observe(now.Sub(f.sentAt))
+		l.latency.observe(now.Sub(f.arrivedAt))
+		l.limit.observe(now.Sub(f.sentAt), waiting || l.inFlight >= int(l.limit.size), now)
+		l.rate.observe(waiting, now)
 	}
-	p.free()
+	f.release()
 }
--- a/internal/fleet/limiter/limiter_test.go
+++ b/internal/fleet/limiter/limiter_test.go
@@ -10,135 +10,134 @@
 	"github.com/matryer/is"
 )
 
-// fill takes all places of a gate and returns their passes.
-func fill(t *testing.T, g *Limiter) []*InFlight {
+// fill acquires the whole limit.
+func fill(t *testing.T, l *Limiter) []*InFlight {
 	var list []*InFlight
-	for range firstLimit {
-		p, err := g.Acquire(t.Context(), Start)
+	for range initialLimit {
+		f, err := l.Acquire(t.Context(), Start)
 		if err != nil {
 			t.Fatal(err)
 		}
-		list = append(list, p)
+		list = append(list, f)
 	}
 	return list
 }
 
-// queue has an order of the class wait, and tells its name when it has its place.
-func queue(ctx context.Context, g *Limiter, c Class, name string, told chan<- string) {
+// queue makes an order of the class wait and sends its name when it is admitted.
+func queue(ctx context.Context, l *Limiter, c Class, name string, admitted chan<- string) {
 	go func() {
-		p, err := g.Acquire(ctx, c)
+		f, err := l.Acquire(ctx, c)
 		if err != nil {
 			return
 		}
-		told <- name
+		admitted <- name
 		time.Sleep(time.Millisecond)
-		p.Done(false) // says nothing of delays
+		f.Done(false) // no measurement of delay
 	}()
 	synctest.Wait()
 }
 
-// Room must be cleared before what needs it starts, and starts must not wait for
-// targets that do not answer.
+// Starts must not wait for targets that do not answer, nor reports for starts.
 func TestClassesInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := NewLimiter(time.Now)
-		g.limit.size = 1
-		p, err := g.Acquire(t.Context(), Start)
-		p.timer.Stop() // it keeps its place
+		l := NewLimiter(time.Now)
+		l.limit.size = 1
+		f, err := l.Acquire(t.Context(), Start)
+		f.timer.Stop() // it does not expire
 		is.NoErr(err)
-		told := make(chan string, 3)
-		queue(t.Context(), g, Probe, "probe", told)
-		queue(t.Context(), g, Start, "start", told)
-		queue(t.Context(), g, Report, "report", told)
-		p.Done(false)
-		is.Equal(<-told, "report")
-		is.Equal(<-told, "start")
-		is.Equal(<-told, "probe")
+		admitted := make(chan string, 3)
+		queue(t.Context(), l, Probe, "probe", admitted)
+		queue(t.Context(), l, Start, "start", admitted)
+		queue(t.Context(), l, Report, "report", admitted)
+		f.Done(false)
+		is.Equal(<-admitted, "report")
+		is.Equal(<-admitted, "start")
+		is.Equal(<-admitted, "probe")
 		time.Sleep(time.Second)
 	})
 }
 
-// Stops come without end. A start that waits gets its turn all the same: of each few
-// places one goes to the order that has waited longest.
+// Under a continuous load of stops, an order of the lowest class is still admitted: every
+// fairnessInterval-th admission goes to the order that has waited longest.
 func TestNoClassStarves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := NewLimiter(time.Now)
+		l := NewLimiter(time.Now)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var wg sync.WaitGroup
-		for range 3 * mostLimit {
+		for range 3 * maxLimit {
 			wg.Go(func() {
 				for ctx.Err() == nil {
-					if p, err := g.Acquire(ctx, Stop); err == nil {
+					if f, err := l.Acquire(ctx, Stop); err == nil {
 						time.Sleep(5 * time.Millisecond)
-						p.Done(true)
+						f.Done(true)
 					}
 				}
 			})
 		}
 		synctest.Wait()
 		began := time.Now()
-		p, err := g.Acquire(ctx, Probe)
+		f, err := l.Acquire(ctx, Probe)
 		is.NoErr(err)
-		p.Done(true)
+		f.Done(true)
 		is.True(time.Since(began) < 2*time.Second)
 		cancel()
 		wg.Wait()
 	})
 }
 
-// A zone is cut off, and orders to its targets fill all places until they time out.
-// Orders to other targets wait for a small part of that only.
-func TestSilentTargetsHoldUpNobody(t *testing.T) {
+// Orders to an unreachable zone use up the limit. Orders to other targets must wait only
+// until these expire, not until they time out.
+func TestUnansweredOrdersExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := NewLimiter(time.Now)
-		passes := fill(t, g)
+		l := NewLimiter(time.Now)
+		unanswered := fill(t, l)
 		began := time.Now()
-		p, err := g.Acquire(t.Context(), Start)
+		f, err := l.Acquire(t.Context(), Start)
 		is.NoErr(err)
-		is.True(time.Since(began) <= leastSlot)
-		p.Done(true)
-		for _, p := range passes {
-			p.Done(false) // each gives its place back once
+		is.True(time.Since(began) <= minExpiry)
+		f.Done(true)
+		for _, f := range unanswered {
+			f.Done(false) // each is released only once
 		}
-		is.Equal(g.busy, 0)
+		is.Equal(l.inFlight, 0)
 	})
 }
 
-// An order that is given up while it waits leaves nothing behind.
-func TestGivenUpWhileWaiting(t *testing.T) {
+// An order that is cancelled while it waits leaves neither a waiter nor an order in flight.
+func TestCancelWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := NewLimiter(time.Now)
-		passes := fill(t, g)
+		l := NewLimiter(time.Now)
+		inFlight := fill(t, l)
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		for range 10 {
 			wg.Go(func() {
-				_, err := g.Acquire(ctx, Stop)
+				_, err := l.Acquire(ctx, Stop)
 				is.True(err != nil)
 			})
 		}
 		synctest.Wait()
-		is.Equal(g.Stats().Waiting, 10)
+		is.Equal(l.Stats().Waiting, 10)
 		cancel()
 		wg.Wait()
-		is.Equal(g.Stats().Waiting, 0)
-		for _, p := range passes {
-			p.Done(true)
+		is.Equal(l.Stats().Waiting, 0)
+		for _, f := range inFlight {
+			f.Done(true)
 		}
-		is.Equal(g.busy, 0)
+		is.Equal(l.inFlight, 0)
 	})
 }
 
-// The gate tells how much may be ahead: at least what is saved together.
-func TestAhead(t *testing.T) {
+// The number of pending starts follows the throughput but has a minimum.
+func TestMaxPendingStarts(t *testing.T) {
 	is := is.New(t)
-	g := NewLimiter(time.Now)
-	is.Equal(g.MaxPendingStarts(), int(firstRate*waitTarget.Seconds()))
-	g.rate.perSecond = 10
-	is.Equal(g.MaxPendingStarts(), leastAhead)
+	l := NewLimiter(time.Now)
+	is.Equal(l.MaxPendingStarts(), int(initialRate*targetStartWait.Seconds()))
+	l.rate.perSecond = 10
+	is.Equal(l.MaxPendingStarts(), minPendingStarts)
 }
--- a/internal/fleet/limiter/rate.go
+++ b/internal/fleet/limiter/rate.go
@@ -3,35 +3,35 @@
 import "time"
 
 const (
-	// rateSpan is the time over which answers are counted.
-	rateSpan = 50 * time.Millisecond
-	// firstRate is what a host is thought to carry of which nothing is known yet.
-	firstRate = 300.0
-	// rateShare is the weight of the newest span.
-	rateShare = 0.2
+	// rateWindow is the time over which answers are counted.
+	rateWindow = 50 * time.Millisecond
+	// initialRate is the assumed throughput in orders per second before any measurement.
+	initialRate = 300.0
+	// rateSmoothing is the weight of the newest window in the moving average.
+	rateSmoothing = 0.2
 )
 
-// rate is how many orders a second are answered while others wait: what the host
-// can carry.
+// rate measures the host's throughput of orders: how many are answered per second while
+// others wait.
 type rate struct {
-	perSecond float64
-	answers   int
-	from      time.Time // begin of the span; zero: nothing waits
+	perSecond   float64
+	answers     int
+	windowStart time.Time // zero: nothing waits
 }
 
-// note takes in an answer, and whether other orders wait.
-func (r *rate) note(waiting bool, now time.Time) {
+// observe counts an answer. waiting says whether other orders wait.
+func (r *rate) observe(waiting bool, now time.Time) {
 	if !waiting {
-		r.from = time.Time{} // a span without a queue says nothing
+		r.windowStart = time.Time{} // without a queue the throughput is not reached
 		return
 	}
-	if r.from.IsZero() {
-		r.from, r.answers = now, 0
+	if r.windowStart.IsZero() {
+		r.windowStart, r.answers = now, 0
 		return
 	}
 	r.answers++
-	if span := now.Sub(r.from); span >= rateSpan {
-		r.perSecond += rateShare * (float64(r.answers)/span.Seconds() - r.perSecond)
-		r.from, r.answers = now, 0
+	if elapsed := now.Sub(r.windowStart); elapsed >= rateWindow {
+		r.perSecond += rateSmoothing * (float64(r.answers)/elapsed.Seconds() - r.perSecond)
+		r.windowStart, r.answers = now, 0
 	}
 }
