--- a/internal/fleet/shape/doc.go
+++ b/internal/fleet/shape/doc.go
@@ -1,4 +1,4 @@
-// Package shape describes what a gang asks for, and tells whether a number of
-// gangs can stand in an availability zone at once. The configuration text speaks
-// of jobs and guarantees in shapes.
+// Package shape describes the resources and the adjacency that a gang needs, and checks
+// whether a set of gangs fits into an availability zone at once. The configuration text
+// describes jobs and guarantees by shape.
 package shape
--- a/internal/fleet/shape/packing.go
+++ b/internal/fleet/shape/packing.go
@@ -6,50 +6,49 @@
 	"slices"
 )
 
-// Worker is a target as a text describes it.
+// Worker is the capacity of a target.
 type Worker struct {
 	Rack         string
 	Accelerators int
 	Cores        int
 	Memory       int // MB
-	Slots        int // tasks at once
+	Slots        int // for concurrent tasks
 }
 
-// room is what is free on a worker.
-type room struct {
+// freeWorker is a worker with its free capacity.
+type freeWorker struct {
 	rack string
 	free Worker
 }
 
-// Zone is an availability zone with what was packed into it so far.
+// Zone is an availability zone with the free capacity of its workers.
 type Zone struct {
-	rooms []room
+	workers []freeWorker
 }
 
-// NewZone returns an empty zone of the workers.
+// NewZone returns a zone in which all workers are free.
 func NewZone(workers []Worker) *Zone {
 	z := &Zone{}
 	for _, w := range workers {
-		z.rooms = append(z.rooms, room{rack: w.Rack, free: w})
+		z.workers = append(z.workers, freeWorker{rack: w.Rack, free: w})
 	}
 	return z
 }
 
-// CheckFit returns why a gang of the shape does not fit into the zone as it is, nil
-// if it does.
+// CheckFit returns an error if a gang of the shape does not fit into the free capacity.
 func (z *Zone) CheckFit(s Shape) error {
 	if _, ok := z.place(s); !ok {
-		return fmt.Errorf("no room for %s: %d accelerators, %d cores and %d MB for each member", s, s.accelerators, s.cores, s.memory)
+		return fmt.Errorf("no capacity for %s: %d accelerators, %d cores and %d MB for each member", s, s.accelerators, s.cores, s.memory)
 	}
 	return nil
 }
 
-// Pack packs all gangs of all guarantees, the largest first, and returns why one
-// of them finds no room, nil if all do. It is a proof that they fit together; that
-// it finds no way for a set that would fit is possible, and rare where shapes
-// divide each other. The zone is left as it was.
+// Pack packs the gangs of all guarantees, the closest adjacency and then the largest
+// first, and returns an error if one does not fit. Success proves that they fit together.
+// The heuristic may fail for a set that would fit, which is rare where the sizes of shapes
+// divide each other. Pack does not change the zone.
 func (z *Zone) Pack(gs []Guarantee) error {
-	trial := &Zone{rooms: slices.Clone(z.rooms)}
+	trial := &Zone{workers: slices.Clone(z.workers)}
 	order := slices.Clone(gs)
 	slices.SortStableFunc(order, func(a, b Guarantee) int {
 		return cmp.Or(
@@ -63,15 +62,15 @@
 		for i := range g.Count {
 			at, ok := trial.place(g.Shape)
 			if !ok {
-				return fmt.Errorf("%s: gang %d of %d finds no room", g, i+1, g.Count)
+				return fmt.Errorf("%s: no capacity for gang %d of %d", g, i+1, g.Count)
 			}
-			trial.take(g.Shape, at)
+			trial.reserve(g.Shape, at)
 		}
 	}
 	return nil
 }
 
-// closeness ranks adjacencies: what must stand closer together is packed first.
+// closeness ranks adjacencies; a gang that must be placed closer together is packed first.
 func (s Shape) closeness() int {
 	switch s.adjacency {
 	case SameWorker:
@@ -82,31 +81,32 @@
 	return 0
 }
 
-// place returns how many members of a gang go on which worker, by index.
+// place returns how many members of a gang to put on each worker, by index, and whether
+// the gang fits.
 func (z *Zone) place(s Shape) (map[int]int, bool) {
 	switch s.adjacency {
 	case SameWorker:
 		return z.fill(s, func(i int) string { return fmt.Sprint(i) })
 	case SameRack:
-		return z.fill(s, func(i int) string { return z.rooms[i].rack })
+		return z.fill(s, func(i int) string { return z.workers[i].rack })
 	}
 	return z.fill(s, func(int) string { return "" })
 }
 
-// fill places a gang on the workers of one group: the group, and in it the
-// workers, that are left with the least room.
+// fill places a gang on the workers of one group, by best fit: the group, and within it
+// the workers, with the fewest free accelerators.
 func (z *Zone) fill(s Shape, group func(i int) string) (map[int]int, bool) {
-	order := make([]int, len(z.rooms))
+	order := make([]int, len(z.workers))
 	fits, left := map[string]int{}, map[string]int{}
-	for i, r := range z.rooms {
+	for i, w := range z.workers {
 		order[i] = i
-		fits[group(i)] += r.members(s)
-		left[group(i)] += r.free.Accelerators
+		fits[group(i)] += w.members(s)
+		left[group(i)] += w.free.Accelerators
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
 		return cmp.Or(
 			cmp.Compare(left[group(a)], left[group(b)]), cmp.Compare(group(a), group(b)),
-			cmp.Compare(z.rooms[a].free.Accelerators, z.rooms[b].free.Accelerators),
+			cmp.Compare(z.workers[a].free.Accelerators, z.workers[b].free.Accelerators),
 		)
 	})
 	at, placed, chosen, found := map[int]int{}, 0, "", false
@@ -115,7 +115,7 @@
 			continue
 		}
 		chosen, found = group(i), true
-		n := min(z.rooms[i].members(s), s.members-placed)
+		n := min(z.workers[i].members(s), s.members-placed)
 		if n > 0 {
 			at[i] = n
 			placed += n
@@ -124,25 +124,25 @@
 	return at, placed == s.members
 }
 
-// members returns how many members of a shape fit into the room.
-func (r room) members(s Shape) int {
-	n := r.free.Slots
+// members returns how many members of the shape fit on the worker.
+func (w freeWorker) members(s Shape) int {
+	n := w.free.Slots
 	if s.accelerators > 0 {
-		n = min(n, r.free.Accelerators/s.accelerators)
+		n = min(n, w.free.Accelerators/s.accelerators)
 	}
 	if s.cores > 0 {
-		n = min(n, r.free.Cores/s.cores)
+		n = min(n, w.free.Cores/s.cores)
 	}
 	if s.memory > 0 {
-		n = min(n, r.free.Memory/s.memory)
+		n = min(n, w.free.Memory/s.memory)
 	}
 	return max(n, 0)
 }
 
-// take takes the room of a gang that was placed.
-func (z *Zone) take(s Shape, at map[int]int) {
+// reserve subtracts the resources of a placed gang from the free capacity.
+func (z *Zone) reserve(s Shape, at map[int]int) {
 	for i, n := range at {
-		f := &z.rooms[i].free
+		f := &z.workers[i].free
 		f.Accelerators -= n * s.accelerators
 		f.Cores -= n * s.cores
 		f.Memory -= n * s.memory
--- a/internal/fleet/shape/shape.go
+++ b/internal/fleet/shape/shape.go
@@ -2,35 +2,34 @@
 
 import "fmt"
 
-// Adjacency says how close together the members of a gang must stand.
+// Adjacency says how close together the members of a gang must be placed.
 type Adjacency string
 
-// The adjacencies that a shape may ask for.
+// The adjacencies.
 const (
 	Any        Adjacency = "any"    // anywhere in one availability zone
 	SameRack   Adjacency = "rack"   // all members in one rack
 	SameWorker Adjacency = "worker" // all members on one worker
 )
 
-// MaxMembers is the largest gang that a shape may ask for.
+// MaxMembers is the largest number of members of a shape.
 const MaxMembers = 64
 
-// Guarantee is one client account's right to run a number of gangs of a shape at
-// once in an availability zone.
+// Guarantee is a client account's right to run Count gangs of a shape at once in an
+// availability zone.
 type Guarantee struct {
 	Account string
 	Shape   Shape
 	Count   int // at least 1
 }
 
-// String returns account count x shape.
+// String returns the guarantee as account and count x (shape).
 func (g Guarantee) String() string { return fmt.Sprintf("%s %dx(%s)", g.Account, g.Count, g.Shape) }
 
 // MaxAccelerators is the largest number of accelerators of one worker.
 const MaxAccelerators = 64
 
-// Shape is what a gang asks for. The zero Shape asks for nothing and is not
-// valid: make shapes with NewShape.
+// Shape is what a gang requests. The zero Shape is not valid; use NewShape.
 type Shape struct {
 	members      int // at least 1, at most MaxMembers
 	accelerators int // of each member, 0 or more
@@ -39,10 +38,10 @@
 	adjacency    Adjacency
 }
 
-// NewShape returns the shape of members members that each need the given
-// accelerators, cores and memory in MB. It refuses a number of members outside
-// 1 to MaxMembers, negative needs and an unknown adjacency. An empty adjacency
-// means Any.
+// NewShape returns the shape of a gang of the given number of members, each of which needs
+// the accelerators, cores and memory in MB. It fails if there are not 1 to MaxMembers
+// members, if a need is negative, if a member needs more than MaxAccelerators, or if the
+// adjacency is unknown. An empty adjacency means Any.
 func NewShape(members, accelerators, cores, memory int, a Adjacency) (Shape, error) {
 	if a == "" {
 		a = Any
@@ -76,10 +75,10 @@
 // Memory returns the memory in MB that each member needs.
 func (s Shape) Memory() int { return s.memory }
 
-// Adjacency returns how close together the members must stand.
+// Adjacency returns how close together the members must be placed.
 func (s Shape) Adjacency() Adjacency { return s.adjacency }
 
-// Total returns the accelerators that all members need together.
+// Total returns the accelerators of all members together.
 func (s Shape) Total() int { return s.members * s.accelerators }
 
 // String returns the shape as members x accelerators with its adjacency.
