--- a/internal/fleet/evacuation/doc.go
+++ b/internal/fleet/evacuation/doc.go
@@ -1,3 +1,3 @@
-// Package evacuation knows which availability zones operators evacuate: nothing is
-// started in such a zone until it is restored, and what runs there may end.
+// Package evacuation tracks the availability zones that operators have evacuated. Nothing
+// is started in such a zone until it is restored; what runs there may end.
 package evacuation
--- a/internal/fleet/evacuation/register.go
+++ b/internal/fleet/evacuation/register.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Status is what a host knows of evacuations at a moment.
+// Status is the set of evacuated zones as a host knows it.
 type Status struct {
-	Zones []string  // that are evacuated, sorted, each once
-	AsOf  time.Time // no change before it is missing; zero: nothing was read yet
+	Zones []string  // evacuated; sorted, without duplicates
+	AsOf  time.Time // includes all changes before it; zero: nothing was read yet
 }
 
 // Has reports whether a zone is evacuated.
@@ -18,7 +18,7 @@
 	return found
 }
 
-// With returns the status with further zones evacuated.
+// With returns the status with the zones evacuated as well.
 func (s Status) With(zones ...string) Status {
 	if len(zones) == 0 {
 		return s
@@ -31,40 +31,39 @@
 // Equal reports whether both have the same zones evacuated.
 func (s Status) Equal(o Status) bool { return slices.Equal(s.Zones, o.Zones) }
 
-// Register holds the zones that operators evacuate. It is safe for several goroutines.
+// Register holds the current status. It is safe for concurrent use.
 type Register struct {
-	mu  sync.RWMutex
-	now Status // its zones are replaced, never changed
+	mu      sync.RWMutex
+	current Status // its zones are replaced, never modified
 }
 
-// NewRegister returns a register that has read nothing yet.
+// NewRegister returns a register without evacuated zones, in which nothing was read yet.
 func NewRegister() *Register { return &Register{} }
 
-// Current returns the status. The caller must not change its zones.
+// Current returns the current status. The caller must not modify its zones.
 func (r *Register) Current() Status {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.now
+	return r.current
 }
 
-// Replace takes in all evacuated zones as they were at a time. It reports whether the
-// zones changed.
+// Replace sets all evacuated zones as of a time and reports whether they changed.
 func (r *Register) Replace(zones []string, asOf time.Time) (changed bool) {
 	next := Status{AsOf: asOf}.With(zones...)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	changed = !r.now.Equal(next)
-	r.now = next
+	changed = !r.current.Equal(next)
+	r.current = next
 	return changed
 }
 
-// Change is an evacuation that was set or taken back.
+// Change is the evacuation or restoration of a zone.
 type Change struct {
 	Zone      string
 	Evacuated bool
 }
 
-// Apply takes in the changes up to a time, in their order. It reports whether the
+// Apply applies the changes up to a time, in order, and reports whether the evacuated
 // zones changed.
 func (r *Register) Apply(changes []Change, asOf time.Time) (changed bool) {
 	zones := slices.Clone(r.Current().Zones)
--- a/internal/fleet/evacuation/register_test.go
+++ b/internal/fleet/evacuation/register_test.go
@@ -22,9 +22,9 @@
 	is.True(s.Equal(evacuation.Status{Zones: []string{"celaya", "leon"}, AsOf: time.Unix(1, 0)}))
 }
 
-// Evacuations are set, taken back and set again, in changes or by whole lists: the
-// register has what a plain set has.
-func TestRegisterIsASet(t *testing.T) {
+// The register holds the same zones as a plain set after any mix of single changes and
+// replacements.
+func TestRegisterMatchesSet(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		r, want := evacuation.NewRegister(), map[string]bool{}
 		for i := range rapid.IntRange(1, 20).Draw(t, "steps") {
@@ -52,8 +52,8 @@
 				}
 			}
 			slices.Sort(zones)
-			if now := r.Current(); !slices.Equal(now.Zones, zones) || !now.AsOf.Equal(asOf) {
-				t.Fatalf("step %d: %v as of %v, want %v", i, now.Zones, now.AsOf, zones)
+			if got := r.Current(); !slices.Equal(got.Zones, zones) || !got.AsOf.Equal(asOf) {
+				t.Fatalf("step %d: %v as of %v, want %v", i, got.Zones, got.AsOf, zones)
 			}
 		}
 	})
