--- a/internal/fleet/roster/doc.go
+++ b/internal/fleet/roster/doc.go
@@ -1,2 +1,2 @@
-// Package roster knows the targets that have registered with the platform.
+// Package roster describes the targets that have registered with the platform.
 package roster
--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -6,27 +6,26 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// Target is one incarnation of a target as it has registered.
+// Target is the registration of one incarnation of a target.
 type Target struct {
 	ID              string // of the incarnation
 	Address         string // IP:port
 	Zone            string
 	Service         string // whose tasks it runs
 	Capacity        graph.Resources
-	Labels          []string // kind and rack
-	Rack            string   // the label that names its rack; empty if none does
+	Labels          []string // such as its kind and its rack
+	Rack            string   // the label that names its rack; empty: none
 	Draining        bool
-	RemainingMS     int64 // while it drains: milliseconds that are left at least, as it last said
-	ColdRemainingMS int64 // milliseconds for which it is still slow after its start, as it last said
+	RemainingMS     int64 // while it drains: minimum time until it stops, as last reported
+	ColdRemainingMS int64 // time for which it is still slow after its start, as last reported
 }
 
-// HasLabel reports whether the target carries the label; every target carries the
-// empty one.
+// HasLabel reports whether the target has the label. Every target has the empty label.
 func (t *Target) HasLabel(label string) bool {
 	return label == "" || slices.Contains(t.Labels, label)
 }
 
-// Same reports whether nothing but the remaining time differs.
+// Same reports whether the targets are equal but for the remaining times.
 func (t *Target) Same(o *Target) bool {
 	return t.ID == o.ID && t.Address == o.Address && t.Zone == o.Zone && t.Service == o.Service &&
 		t.Capacity == o.Capacity && t.Rack == o.Rack && t.Draining == o.Draining && slices.Equal(t.Labels, o.Labels)
