--- a/internal/host/dispatcher/stories.go
+++ b/internal/host/dispatcher/stories.go
@@ -101,7 +101,7 @@
 	defer s.mu.Unlock()
 	lines := make([]view.Decision, 0, len(s.byJob[id]))
 	for _, l := range s.byJob[id] {
-		lines = append(lines, view.Decision{At: l.at.UTC(), What: l.what, With: join(l.with)})
+		lines = append(lines, view.Decision{At: l.at.UTC(), Message: l.what, Inputs: join(l.with)})
 	}
 	return lines
 }
--- a/internal/operator/command/jobs.go
+++ b/internal/operator/command/jobs.go
@@ -115,7 +115,7 @@
 	return c.print(c.streams, s, func(w *tabwriter.Writer) {
 		_, _ = fmt.Fprintf(w, "%s of %s is %s, as decided in term %d:\n", s.Job.ID, s.Job.Queue, s.Job.State, s.Term)
 		for _, l := range s.Decisions {
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\n", l.At.Format("15:04:05.000"), l.What, l.With)
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\n", l.At.Format("15:04:05.000"), l.Message, l.Inputs)
 		}
 	})
 }
--- a/internal/operator/command/reading.go
+++ b/internal/operator/command/reading.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	return c.print(c.streams, f, func(w *tabwriter.Writer) {
-		_, _ = fmt.Fprintf(w, "leader %s\tterm %d\twaiting %d\n", f.Leader, f.Term, f.Waiting)
+		_, _ = fmt.Fprintf(w, "leader %s\tterm %d\twaiting %d\n", f.Leader, f.Term, f.PendingSteps)
 		_, _ = fmt.Fprintf(w, "guaranteed %d accelerators\tusable %d\n", f.Guaranteed, f.Usable)
 		if f.Guaranteed > f.Usable {
 			_, _ = fmt.Fprintln(w, "the guarantees cannot all be met now")
--- a/internal/report/view/doc.go
+++ b/internal/report/view/doc.go
@@ -1,3 +1,3 @@
-// Package view is what operators and clients read of the system: jobs and their
-// stories, the fleet, and which configuration each host has in force.
+// Package view defines what operators and clients read of the system: jobs and their
+// histories, the fleet, and the configuration that each host has in force.
 package view
--- a/internal/report/view/view.go
+++ b/internal/report/view/view.go
@@ -9,14 +9,14 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// JobStatus is what a client is told of a job, with whose job it is.
+// JobStatus is the state of a job and the queue and account that it belongs to.
 type JobStatus struct {
 	State   progress.State `json:"state"`
 	Queue   string         `json:"queue"`
 	Account string         `json:"account,omitempty"` // empty on a public queue
 }
 
-// Job is a job as it is listed.
+// Job is a job in a listing.
 type Job struct {
 	ID       graph.JobID    `json:"id"`
 	Queue    string         `json:"queue"`
@@ -25,27 +25,27 @@
 	State    progress.State `json:"state"`
 	Accepted time.Time      `json:"accepted"`
 	Ended    time.Time      `json:"ended,omitzero"`
-	Tasks    int            `json:"tasks"` // of the occurrences that have begun
-	Done     int            `json:"done"`  // of these
-	Runs     int            `json:"runs"`  // that are on targets now
+	Tasks    int            `json:"tasks"` // of the occurrences that have started
+	Done     int            `json:"done"`  // of Tasks
+	Runs     int            `json:"runs"`  // on targets now
 }
 
 // Decision is one decision about a job.
 type Decision struct {
-	At   time.Time `json:"at"`
-	What string    `json:"what"`
-	With string    `json:"with,omitempty"` // the inputs that decided it, as key=value
+	At      time.Time `json:"at"`
+	Message string    `json:"what"`
+	Inputs  string    `json:"with,omitempty"` // as key=value
 }
 
-// History is a job with what was decided about it, oldest first. A leader knows what
-// was decided in its own term.
+// History is a job with the decisions about it, oldest first. A leader has only the
+// decisions of its own term.
 type History struct {
 	Job       Job        `json:"job"`
 	Term      int64      `json:"term"`
 	Decisions []Decision `json:"lines"`
 }
 
-// Target is a target as the leader sees it.
+// Target is the leader's view of a target.
 type Target struct {
 	ID           string `json:"id"`
 	Zone         string `json:"zone"`
@@ -59,7 +59,7 @@
 	State        string `json:"state"` // ready, unheld, silent, draining, evacuated, doubted, unlisted
 }
 
-// Zone is an availability zone as the leader sees it.
+// Zone is the leader's view of an availability zone.
 type Zone struct {
 	Name         string `json:"name"`
 	Evacuated    bool   `json:"evacuated"`
@@ -69,37 +69,37 @@
 	Runs         int    `json:"runs"`
 }
 
-// Account is a client account with its guarantee.
+// Account is a client account with its guarantee and its demand.
 type Account struct {
 	Name       string `json:"name"`
 	Guaranteed int    `json:"guaranteed"` // accelerators for urgent work
 	Wanted     int    `json:"wanted"`     // by its open urgent jobs
 }
 
-// Fleet is what the leader holds.
+// Fleet is the leader's view of targets, zones and accounts.
 type Fleet struct {
-	Leader   string    `json:"leader"` // address for peers
-	Term     int64     `json:"term"`
-	Waiting  int       `json:"waiting"` // steps with tasks to start
-	Zones    []Zone    `json:"zones"`   // by name
-	Targets  []Target  `json:"targets"`
-	Accounts []Account `json:"accounts"`
-	// Guaranteed and Usable are accelerators: guaranteed to all accounts together, and
-	// on targets that may get work. Guarantees can be met if the first is not larger.
+	Leader       string    `json:"leader"` // address for peers
+	Term         int64     `json:"term"`
+	PendingSteps int       `json:"waiting"` // steps with tasks to start
+	Zones        []Zone    `json:"zones"`   // by name
+	Targets      []Target  `json:"targets"`
+	Accounts     []Account `json:"accounts"`
+	// Guaranteed is the total of accelerators guaranteed to accounts, Usable the total on
+	// targets that may get work. Guarantees can be met if Guaranteed is at most Usable.
 	Guaranteed int `json:"guaranteed"`
 	Usable     int `json:"usable"`
 }
 
-// InForce is what a host has in force.
+// InForce is the configuration version that a host has in force, with the host's state.
 type InForce struct {
 	Host    string  `json:"host"` // address for peers
 	Version int64   `json:"version"`
 	Leads   bool    `json:"leads"`
-	StoreUp bool    `json:"storeUp"` // the store serves the host
-	Cores   float64 `json:"power,omitempty"`
+	StoreUp bool    `json:"storeUp"`         // the store is available to the host
+	Cores   float64 `json:"power,omitempty"` // of the host
 }
 
-// SortInForce sorts by host.
+// SortInForce sorts the list by host.
 func SortInForce(list []InForce) {
 	slices.SortFunc(list, func(a, b InForce) int { return cmp.Compare(a.Host, b.Host) })
 }
--- a/internal/work/dispatch/query.go
+++ b/internal/work/dispatch/query.go
@@ -89,7 +89,7 @@
 // Fleet returns what the machine holds of targets and accounts.
 func (m *Machine) Fleet(now time.Time) view.Fleet {
 	f := view.Fleet{
-		Term: m.term, Waiting: len(m.open), Zones: m.zones(), Targets: []view.Target{}, Accounts: []view.Account{},
+		Term: m.term, PendingSteps: len(m.open), Zones: m.zones(), Targets: []view.Target{}, Accounts: []view.Account{},
 		Guaranteed: m.guaranteedInAll(), Usable: m.usable(),
 	}
 	for _, t := range m.byID {
