--- a/internal/report/linelog/doc.go
+++ b/internal/report/linelog/doc.go
@@ -1,6 +1,6 @@
-// Package linelog writes log lines without ever making the program wait.
+// Package linelog writes log lines without blocking the program.
 //
-// Lines are gathered in memory and written by one goroutine. If the output is
-// slower than the program, or the program writes more than its rate, lines are
-// left out and counted; the count is written as a line of its own.
+// Lines are buffered in memory and written by one goroutine. If the output is slower than
+// the program, or the program exceeds the maximum rate, lines are dropped and counted; the
+// count is logged as a line of its own.
 package linelog
--- a/internal/report/linelog/writer.go
+++ b/internal/report/linelog/writer.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Bounds of what is kept and written.
+// Bounds of what is buffered and written.
 const (
-	// MaxRate is how many bytes a second are written at most: the leader of 350 targets
-	// writes 100 KB in its worst seconds.
+	// MaxRate is the maximum output in bytes per second. The leader of 350 targets logs up
+	// to 100 KB/s.
 	MaxRate = 256 << 10
-	// MaxPending is how many bytes may wait for the output: a second of Rate.
+	// MaxPending is the size of the buffer in bytes: one second at MaxRate.
 	MaxPending = MaxRate
 	// FlushInterval is the time between two writes to the output. One write for many
-	// lines costs a small part of a write for each.
+	// lines costs much less than a write for each.
 	FlushInterval = 100 * time.Millisecond
 )
 
@@ -24,22 +24,22 @@
 type Writer struct {
 	out     io.Writer
 	mu      sync.Mutex
-	buf     []byte // lines that wait
-	chunk   []byte // what is being written; only the goroutine that writes uses it
-	dropped int64  // since the last line that said so
-	total   int64
+	buf     []byte // pending lines
+	chunk   []byte // being written; used only by the writing goroutine
+	dropped int64  // since the last line that reported it
+	total   int64  // dropped since the start
 	stop    chan struct{}
 	done    chan struct{}
 }
 
-// New returns a writer to out. Close must be called at the end.
+// New returns a writer to out. The caller must call Close.
 func New(out io.Writer) *Writer {
 	w := &Writer{out: out, stop: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes a line, or leaves it out if too much waits. It never fails.
+// Write buffers a line, or drops it if the buffer is full. It never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -52,7 +52,7 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were left out so far.
+// Dropped returns how many lines were dropped so far.
 func (w *Writer) Dropped() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -74,35 +74,35 @@
 	}
 }
 
-// flush writes the lines that wait, about so many bytes of them at most.
-func (w *Writer) flush(most int) {
+// flush writes pending lines up to the one that reaches limit bytes.
+func (w *Writer) flush(limit int) {
 	w.mu.Lock()
-	n := wholeLines(w.buf, most)
+	n := wholeLines(w.buf, limit)
 	w.chunk = append(w.chunk[:0], w.buf[:n]...)
 	w.buf = append(w.buf[:0], w.buf[n:]...)
 	dropped := w.dropped
 	w.dropped = 0
 	w.mu.Unlock()
 	if dropped > 0 {
-		w.chunk = fmt.Appendf(w.chunk, "level=WARN msg=\"log lines left out\" lines=%d\n", dropped)
+		w.chunk = fmt.Appendf(w.chunk, "level=WARN msg=\"log lines dropped\" lines=%d\n", dropped)
 	}
 	if len(w.chunk) > 0 {
-		_, _ = w.out.Write(w.chunk) // where logs cannot be written there is nobody to tell
+		_, _ = w.out.Write(w.chunk) // the error cannot be logged
 	}
 }
 
-// wholeLines returns the length of the lines that begin in the first most bytes.
-func wholeLines(lines []byte, most int) int {
-	if len(lines) <= most {
+// wholeLines returns the length of the lines up to the one that reaches limit bytes.
+func wholeLines(lines []byte, limit int) int {
+	if len(lines) <= limit {
 		return len(lines)
 	}
-	if end := bytes.IndexByte(lines[most:], '\n'); end >= 0 {
-		return most + end + 1
+	if end := bytes.IndexByte(lines[limit:], '\n'); end >= 0 {
+		return limit + end + 1
 	}
 	return len(lines)
 }
 
-// Close writes what waits and ends the writer.
+// Close writes the pending lines and stops the writer.
 func (w *Writer) Close() {
 	close(w.stop)
 	<-w.done
--- a/internal/report/linelog/writer_test.go
+++ b/internal/report/linelog/writer_test.go
@@ -14,26 +14,26 @@
 	"guavaglade.example/guavaglade/internal/report/linelog"
 )
 
-// stuck is an output that takes nothing until it is let go.
-type stuck struct {
-	mu   sync.Mutex
-	let  chan struct{}
-	took bytes.Buffer
+// gatedWriter blocks until its gate is closed.
+type gatedWriter struct {
+	mu      sync.Mutex
+	gate    chan struct{}
+	written bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
-	<-s.let
+func (s *gatedWriter) Write(b []byte) (int, error) {
+	<-s.gate
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.took.Write(b)
+	return s.written.Write(b)
 }
 
-// Whoever collects the logs stops reading. The program goes on as if nothing were:
-// lines beyond the bound are left out, and counted where they would have stood.
-func TestOutputStandsStill(t *testing.T) {
+// When the log collector stops reading, the program must not block: lines beyond the
+// buffer are dropped and counted.
+func TestBlockedOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		out := &stuck{let: make(chan struct{})}
+		out := &gatedWriter{gate: make(chan struct{})}
 		w := linelog.New(out)
 		line := []byte(strings.Repeat("x", 1023) + "\n")
 		const many = 10 * linelog.MaxPending / 1024
@@ -42,23 +42,23 @@
 			_, err := w.Write(line)
 			is.NoErr(err)
 		}
-		is.Equal(time.Since(began), time.Duration(0)) // it never waited
+		is.Equal(time.Since(began), time.Duration(0)) // it never blocked
 		dropped := w.Dropped()
 		is.Equal(dropped, int64(many-linelog.MaxPending/1024))
-		close(out.let)
+		close(out.gate)
 		w.Close()
-		is.Equal(strings.Count(out.took.String(), "xxx\n"), linelog.MaxPending/1024)
-		is.True(strings.Contains(out.took.String(), "log lines left out"))
+		is.Equal(strings.Count(out.written.String(), "xxx\n"), linelog.MaxPending/1024)
+		is.True(strings.Contains(out.written.String(), "log lines dropped"))
 	})
 }
 
-// A program that logs without end would fill the disk of whoever collects the logs.
-// Each second holds Rate at the most, in whole lines; what does not fit is counted.
+// A program that logs without end must not fill the log collector's disk. At most MaxRate
+// is written per second, in whole lines; the rest is counted.
 func TestRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		out := &stuck{let: make(chan struct{})}
-		close(out.let) // it takes everything at once
+		out := &gatedWriter{gate: make(chan struct{})}
+		close(out.gate) // it never blocks
 		w := linelog.New(out)
 		line := []byte(strings.Repeat("x", 99) + "\n")
 		const seconds = 5
@@ -72,29 +72,29 @@
 		}
 		synctest.Wait()
 		out.mu.Lock()
-		told := strings.Split(strings.TrimSuffix(out.took.String(), "\n"), "\n")
-		size := out.took.Len()
+		lines := strings.Split(strings.TrimSuffix(out.written.String(), "\n"), "\n")
+		size := out.written.Len()
 		out.mu.Unlock()
 		is.True(size <= seconds*linelog.MaxRate*11/10)
 		is.True(size >= seconds*linelog.MaxRate*8/10)
-		left := 0
-		for _, l := range told {
+		dropped := 0
+		for _, l := range lines {
 			var n int
-			if _, err := fmt.Sscanf(l, "level=WARN msg=\"log lines left out\" lines=%d", &n); err == nil {
-				left += n
+			if _, err := fmt.Sscanf(l, "level=WARN msg=\"log lines dropped\" lines=%d", &n); err == nil {
+				dropped += n
 				continue
 			}
 			is.Equal(len(l), 99) // whole
 		}
-		is.True(left > 0)
-		is.True(int64(left) <= w.Dropped())
+		is.True(dropped > 0)
+		is.True(int64(dropped) <= w.Dropped())
 		w.Close()
-		is.True(written > len(told))
+		is.True(written > len(lines))
 	})
 }
 
-// What was written is there when the writer is closed, in its order.
-func TestCloseWritesWhatWaits(t *testing.T) {
+// Close writes all pending lines, in order.
+func TestCloseWritesPendingLines(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	w := linelog.New(&out)
