--- a/internal/fleet/order/counted.go
+++ b/internal/fleet/order/instrumented.go
@@ -16,8 +16,8 @@
 	"unhealthy": ErrUnhealthy, "otherLife": ErrOtherIncarnation, "unreached": ErrUnreached, "unanswered": ErrUnanswered,
 }
 
-// Counted is a Transport that counts orders by outcome and measures their latency.
-type Counted struct {
+// Instrumented is a Transport that counts orders by outcome and measures their latency.
+type Instrumented struct {
 	Transport
 	orders map[string]*orderMetrics
 }
@@ -28,9 +28,9 @@
 	latency tally.Histogram
 }
 
-// NewCounted returns a transport that sends through the given one and reports to scope.
-func NewCounted(l Transport, scope tally.Scope) *Counted {
-	c := &Counted{Transport: l, orders: map[string]*orderMetrics{}}
+// NewInstrumented returns a transport that sends through the given one and reports to scope.
+func NewInstrumented(t Transport, scope tally.Scope) *Instrumented {
+	i := &Instrumented{Transport: t, orders: map[string]*orderMetrics{}}
 	for _, order := range []string{"start", "stop", "hold", "pace"} {
 		tagged := scope.Tagged(map[string]string{"order": order})
 		m := &orderMetrics{
@@ -40,9 +40,9 @@
 		for name := range outcomes {
 			m.failed[name] = tagged.Tagged(map[string]string{"outcome": name}).Counter("orders_total")
 		}
-		c.orders[order] = m
+		i.orders[order] = m
 	}
-	return c
+	return i
 }
 
 func (m *orderMetrics) observe(began time.Time, err error) {
@@ -60,33 +60,33 @@
 }
 
 // Start implements Transport.
-func (c *Counted) Start(ctx context.Context, to Address, s Start) (int64, error) {
+func (i *Instrumented) Start(ctx context.Context, to Address, s Start) (int64, error) {
 	began := time.Now()
-	clock, err := c.Transport.Start(ctx, to, s)
-	c.orders["start"].observe(began, err)
+	clock, err := i.Transport.Start(ctx, to, s)
+	i.orders["start"].observe(began, err)
 	return clock, err
 }
 
 // Stop implements Transport.
-func (c *Counted) Stop(ctx context.Context, to Address, r Run, term int64) (int64, error) {
+func (i *Instrumented) Stop(ctx context.Context, to Address, r Run, term int64) (int64, error) {
 	began := time.Now()
-	clock, err := c.Transport.Stop(ctx, to, r, term)
-	c.orders["stop"].observe(began, err)
+	clock, err := i.Transport.Stop(ctx, to, r, term)
+	i.orders["stop"].observe(began, err)
 	return clock, err
 }
 
 // Poll implements Transport.
-func (c *Counted) Poll(ctx context.Context, to Address, p Poll) (Report, error) {
+func (i *Instrumented) Poll(ctx context.Context, to Address, p Poll) (Report, error) {
 	began := time.Now()
-	rep, err := c.Transport.Poll(ctx, to, p)
-	c.orders["hold"].observe(began, err)
+	rep, err := i.Transport.Poll(ctx, to, p)
+	i.orders["hold"].observe(began, err)
 	return rep, err
 }
 
 // Pace implements Transport.
-func (c *Counted) Pace(ctx context.Context, to Address, r Run, percent int, term int64) (int64, error) {
+func (i *Instrumented) Pace(ctx context.Context, to Address, r Run, percent int, term int64) (int64, error) {
 	began := time.Now()
-	clock, err := c.Transport.Pace(ctx, to, r, percent, term)
-	c.orders["pace"].observe(began, err)
+	clock, err := i.Transport.Pace(ctx, to, r, percent, term)
+	i.orders["pace"].observe(began, err)
 	return clock, err
 }
--- a/internal/host/station/station.go
+++ b/internal/host/station/station.go
@@ -122,7 +122,7 @@
 	if p.Adviser != nil {
 		desk = append(desk, dispatcher.WithAdviser(p.Adviser))
 	}
-	s.desk = dispatcher.New(s.store, order.NewCounted(p.Line, set.metrics), p.Roster, set.bounds, log, desk...)
+	s.desk = dispatcher.New(s.store, order.NewInstrumented(p.Line, set.metrics), p.Roster, set.bounds, log, desk...)
 	s.exchange = exchange.New(
 		id.Peers, s.desk, s.keeper, s.store.Up, exchange.WithPower(id.Power), exchange.WithZone(id.Zone), exchange.WithLog(log),
 		exchange.WithStoreAnswered(s.store.LastSuccess),
