--- /dev/null
+++ b/internal/work/dispatch/long_running.go
@@ -0,0 +1,42 @@
+package dispatch
+
+import "time"
+
+// moveLongRunning moves long-running tasks off a target that leaves, as many at a time as
+// their step may miss: each is away for a moment only, instead of from its
+// target's end until that is noticed.
+func (m *Machine) moveLongRunning(t *target, now time.Time) {
+	if !t.Draining {
+		return
+	}
+	for _, r := range t.sortedRuns() {
+		s := r.task.step
+		if r.phase != running || !s.spec.LongRunning || s.job.finished() || s.unavailable() >= max(s.spec.MaxUnavailable, 1) {
+			continue
+		}
+		if other := m.chooseTarget(r.task, now); other != nil && other != t {
+			m.stop(r, "its target leaves", now)
+		}
+	}
+}
+
+// unavailable returns how many tasks of a long-running step are not at work.
+func (s *step) unavailable() int {
+	n := 0
+	for _, x := range s.tasks {
+		if !x.serving() {
+			n++
+		}
+	}
+	return n
+}
+
+// serving reports whether a long-running task has started up and serves.
+func (x *task) serving() bool {
+	for _, r := range x.runs {
+		if r.phase == running && r.percent == 100 {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/work/dispatch/preemption.go
@@ -0,0 +1,346 @@
+package dispatch
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"guavaglade.example/guavaglade/internal/work/graph"
+)
+
+// preemptFor makes room for a task of priority 0 by stopping work of lower
+// priority on one target, at the least cost, and returns that target; nil if
+// none can be cleared.
+func (m *Machine) preemptFor(x *task, now time.Time) *target {
+	s := x.step
+	plan := m.newPreemptionPlan(s, now)
+	var best *target
+	var bestOption preemptionOption
+	m.targetsConsidered += len(m.sortedTargets)
+	for _, t := range m.sortedTargets {
+		if !s.eligible(t, now) || m.reservedForOther(t, s) || x.attempts().avoids(t) {
+			continue
+		}
+		if o := plan.optionOn(t); o.ok && (best == nil || o.cost < bestOption.cost) {
+			best, bestOption = t, o
+		}
+	}
+	if best == nil {
+		return nil
+	}
+	if bestOption.cost > m.allowedLoss(s, 1, now) {
+		m.reserve(s, []*target{best})
+		return nil
+	}
+	plan.addTask(best, bestOption)
+	m.stopVictims(plan, now)
+	return best
+}
+
+// reserve keeps targets free of less urgent work, for a step that waits for
+// room there: else each bit that comes free would go to tasks that need less.
+func (m *Machine) reserve(s *step, targets []*target) {
+	if m.reserved == nil {
+		m.reserved = map[*target]map[*step]bool{}
+	}
+	for _, t := range targets {
+		if m.reserved[t] == nil {
+			m.reserved[t] = map[*step]bool{}
+		}
+		m.reserved[t][s] = true
+	}
+}
+
+// preemptForGang makes room for a gang on one of the sets, at the least cost, and
+// returns a target for each of its tasks; nil if none can be cleared, or only at
+// a cost that is not allowed yet.
+func (m *Machine) preemptForGang(s *step, sets []targetSet, now time.Time) []*target {
+	var best *preemptionPlan
+	for _, set := range sets {
+		c := m.newPreemptionPlan(s, now)
+		if best != nil {
+			c.maxCost = best.cost
+		}
+		if c.fillSet(set.targets) {
+			best = c
+		}
+	}
+	s.reservation = nil
+	if best == nil {
+		return nil
+	}
+	if best.cost > m.allowedLoss(s, len(s.tasks), now) {
+		s.reservation = best.targets
+		m.reserve(s, best.targets)
+		return nil
+	}
+	m.stopVictims(best, now)
+	return best.targets
+}
+
+// victim is a run that may be stopped for work of priority 0.
+type victim struct {
+	run  *run
+	loss float64 // core-seconds thrown away; of a gang's member, what the gang loses
+}
+
+// preemptionPlan is a plan to stop runs for the tasks of a step.
+type preemptionPlan struct {
+	m       *Machine
+	step    *step
+	now     time.Time
+	charge  graph.Resources
+	freeOn  map[*target]graph.Resources // free if the victims are gone, less what is planned
+	planned map[*target]int
+	victims map[*run]bool
+	targets []*target
+	cost    float64 // of all victims
+	maxCost float64 // a plan is of no use whose cost reaches it
+}
+
+func (m *Machine) newPreemptionPlan(s *step, now time.Time) *preemptionPlan {
+	return &preemptionPlan{m: m, step: s, now: now, charge: s.spec.Charge(), maxCost: math.Inf(1)}
+}
+
+// fillSet plans all tasks of the step on a set, each where it costs least. It gives up
+// as soon as that costs too much: most sets are no better than the best so far.
+func (p *preemptionPlan) fillSet(set []*target) bool {
+	if !p.canFit(set) {
+		return false
+	}
+	options := make([]preemptionOption, len(set))
+	for i, t := range set {
+		options[i] = p.optionOn(t)
+	}
+	for range p.step.tasks {
+		best := -1
+		for i := range options {
+			if options[i].ok && (best < 0 || options[i].cost < options[best].cost) {
+				best = i
+			}
+		}
+		if best < 0 {
+			return false
+		}
+		if p.cost+options[best].cost >= p.maxCost {
+			return false
+		}
+		stopsGang := p.addTask(set[best], options[best])
+		for i, t := range set {
+			if i == best || stopsGang {
+				options[i] = p.optionOn(t)
+			}
+		}
+	}
+	return true
+}
+
+// canFit reports whether the tasks fit if all that may be stopped is.
+func (p *preemptionPlan) canFit(set []*target) bool {
+	n := 0
+	for _, t := range set {
+		n += min(tasksThatFit(p.charge, p.m.preemptibleCapacity(t, p.now)), max(p.step.perTargetLeft(t), 0))
+		if n >= len(p.step.tasks) {
+			break
+		}
+	}
+	p.m.targetsConsidered += len(set)
+	return n >= len(p.step.tasks)
+}
+
+// preemptibleCapacity returns the room on a target if all that may be stopped there is.
+func (m *Machine) preemptibleCapacity(t *target, now time.Time) graph.Resources {
+	if capacity, ok := m.pass.preemptibleCapacity[t]; ok {
+		return capacity
+	}
+	free := t.freeAfterStops()
+	for _, v := range m.victimsOn(t, now) {
+		free = free.Plus(v.run.charge)
+	}
+	m.pass.preemptibleCapacity[t] = free
+	return free
+}
+
+// freeAfterStops returns the room on a target once the runs that are being stopped
+// there have ended.
+func (t *target) freeAfterStops() graph.Resources {
+	room := t.freeCapacity()
+	for _, r := range t.runs {
+		if r.phase == stopping {
+			room = room.Plus(r.charge)
+		}
+	}
+	return room
+}
+
+// free returns the room on a target under the plan, once the runs that are
+// being stopped there have ended.
+func (p *preemptionPlan) free(t *target) graph.Resources {
+	if r, ok := p.freeOn[t]; ok {
+		return r
+	}
+	return t.freeAfterStops()
+}
+
+// preemptionOption is what one more task on a target would cost.
+type preemptionOption struct {
+	victims []victim // to stop
+	cost    float64
+	ok      bool // it can be had
+}
+
+// optionOn returns the runs to stop on a target so that one more task fits: the
+// cheapest first, without those that turn out not to be needed.
+func (p *preemptionPlan) optionOn(t *target) preemptionOption {
+	p.m.targetsConsidered++
+	if p.step.perTargetLeft(t)-p.planned[t] <= 0 {
+		return preemptionOption{}
+	}
+	free := p.free(t)
+	if p.charge.FitsIn(free) {
+		return preemptionOption{ok: true}
+	}
+	var list []victim
+	for _, v := range p.m.victimsOn(t, p.now) {
+		if p.victims[v.run] {
+			continue
+		}
+		list = append(list, v)
+		free = free.Plus(v.run.charge)
+		if p.charge.FitsIn(free) {
+			return p.prune(list, free)
+		}
+	}
+	return preemptionOption{}
+}
+
+// prune drops victims that are not needed, the dearest first.
+func (p *preemptionPlan) prune(list []victim, free graph.Resources) preemptionOption {
+	o := preemptionOption{ok: true}
+	for i := len(list) - 1; i >= 0; i-- {
+		if less := free.Minus(list[i].run.charge); p.charge.FitsIn(less) {
+			free = less
+			continue
+		}
+		o.victims = append(o.victims, list[i])
+		o.cost += list[i].loss
+	}
+	return o
+}
+
+// victimsOn returns the runs that may be stopped on a target for work of priority
+// 0, the cheapest first.
+func (m *Machine) victimsOn(t *target, now time.Time) []victim {
+	if list, ok := m.pass.victims[t]; ok {
+		return list
+	}
+	var list []victim
+	for _, r := range t.sortedRuns() {
+		s := r.task.step
+		if (r.phase == running || r.phase == starting) && s.job.spec.Priority > 0 && !s.spec.LongRunning && !s.job.spec.AtMostOnce {
+			list = append(list, victim{run: r, loss: m.lossOf(r, now)})
+		}
+	}
+	slices.SortStableFunc(list, func(a, b victim) int { return cmp.Compare(a.loss, b.loss) })
+	m.pass.victims[t] = list
+	m.targetsConsidered += len(list)
+	return list
+}
+
+// addTask plans one more task on a target. It reports whether a gang is stopped for
+// it, which makes room elsewhere, too.
+func (p *preemptionPlan) addTask(t *target, o preemptionOption) (stopsGang bool) {
+	if p.freeOn == nil { // most plans end before anything is taken
+		p.freeOn, p.planned, p.victims = map[*target]graph.Resources{}, map[*target]int{}, map[*run]bool{}
+	}
+	free := p.free(t)
+	for _, v := range o.victims {
+		p.victims[v.run] = true
+		free = free.Plus(v.run.charge)
+	}
+	p.freeOn[t] = free.Minus(p.charge)
+	for _, v := range o.victims {
+		stopsGang = p.addGangMembers(v.run) || stopsGang
+	}
+	p.planned[t]++
+	p.targets = append(p.targets, t)
+	p.cost += o.cost
+	return stopsGang
+}
+
+// addGangMembers counts the other members of a victim's gang as free, too: they end
+// with it.
+func (p *preemptionPlan) addGangMembers(r *run) bool {
+	s := r.task.step
+	if !s.spec.Gang {
+		return false
+	}
+	for _, x := range s.tasks {
+		for _, o := range x.runs {
+			if p.victims[o] || o.phase == stopping {
+				continue
+			}
+			p.victims[o] = true
+			p.freeOn[o.target] = p.free(o.target).Plus(o.charge)
+		}
+	}
+	return true
+}
+
+// stopVictims stops the runs of a plan.
+func (m *Machine) stopVictims(plan *preemptionPlan, now time.Time) {
+	list := make([]*run, 0, len(plan.victims))
+	for r := range plan.victims {
+		list = append(list, r)
+	}
+	slices.SortFunc(list, compareRuns)
+	size := coreEquivalents(plan.step.spec.Needs) * plan.step.spec.Estimate.Seconds() * float64(len(plan.targets))
+	m.log.Decided("room cleared", "step", plan.step.id, "runs", len(list), "lossCoreS", int(plan.cost), "gainCoreS", int(size), "waitedMS", m.wallMS(now)-plan.step.releaseTime())
+	for _, r := range list {
+		m.stop(r, "room for "+plan.step.id.String(), now)
+		m.pass.invalidate(r.target) // it cannot be stopped again in this pass
+	}
+}
+
+// acceleratorCores is the number of cores that an accelerator counts for when
+// work is weighed: the price list of the platform says so.
+const acceleratorCores = 8
+
+// coreEquivalents returns what a task takes in cores, accelerators counted in.
+func coreEquivalents(r graph.Resources) float64 {
+	return float64(r.CPU)/1000 + acceleratorCores*float64(r.Accelerators)
+}
+
+// restartLoss is what a stop costs beside the lost work, in seconds of the run:
+// stopping, starting again and resuming.
+const restartLoss = 0.5
+
+// lossOf returns what stopping a run throws away, in core-seconds; of a gang's
+// member, what the whole gang loses.
+func (m *Machine) lossOf(r *run, now time.Time) float64 {
+	s := r.task.step
+	if !s.spec.Gang {
+		return coreEquivalents(s.spec.Needs) * (unsavedSeconds(r, now) + restartLoss)
+	}
+	if loss, ok := m.pass.losses[s]; ok {
+		return loss
+	}
+	loss := 0.0
+	for _, x := range s.tasks {
+		for _, o := range x.runs {
+			loss += coreEquivalents(s.spec.Needs) * (unsavedSeconds(o, now) + restartLoss)
+		}
+	}
+	m.pass.losses[s] = loss
+	return loss
+}
+
+// unsavedSeconds returns how many seconds of work a stop would throw away. A
+// checkpointing run saves at a stop.
+func unsavedSeconds(r *run, now time.Time) float64 {
+	if r.beganAt.IsZero() || r.task.step.spec.Checkpointing {
+		return 0
+	}
+	return now.Sub(r.beganAt).Seconds()
+}
