--- a/internal/work/dispatch/query.go
+++ b/internal/work/dispatch/query.go
@@ -89,7 +89,7 @@
 // Fleet returns what the machine holds of targets and accounts.
 func (m *Machine) Fleet(now time.Time) view.Fleet {
 	f := view.Fleet{
-		Term: m.term, Waiting: len(m.openSteps), Zones: m.zones(), Targets: []view.Target{}, Accounts: []view.Account{},
+		Term: m.term, PendingSteps: len(m.openSteps), Zones: m.zones(), Targets: []view.Target{}, Accounts: []view.Account{},
 		Guaranteed: m.totalGuaranteed(), Usable: m.usableAccelerators(),
 	}
 	for _, t := range m.sortedTargets {
