--- a/internal/platform/store/instrumented.go
+++ b/internal/platform/store/instrumented.go
@@ -37,7 +37,7 @@
 	return c
 }
 
-func (m *callMetrics) note(began time.Time, err error) {
+func (m *callMetrics) observe(began time.Time, err error) {
 	m.latency.RecordDuration(time.Since(began))
 	switch {
 	case err == nil:
@@ -55,7 +55,7 @@
 func (c *Instrumented) Commit(ctx context.Context, tx Tx) (Result, error) {
 	began := time.Now()
 	res, err := c.Store.Commit(ctx, tx)
-	c.calls["commit"].note(began, err)
+	c.calls["commit"].observe(began, err)
 	return res, err
 }
 
@@ -63,7 +63,7 @@
 func (c *Instrumented) Read(ctx context.Context, r Range) (Page, error) {
 	began := time.Now()
 	page, err := c.Store.Read(ctx, r)
-	c.calls["read"].note(began, err)
+	c.calls["read"].observe(began, err)
 	return page, err
 }
 
@@ -71,6 +71,6 @@
 func (c *Instrumented) Changes(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
 	began := time.Now()
 	page, err := c.Store.Changes(ctx, table, after, wait)
-	c.calls["changes"].note(began, err)
+	c.calls["changes"].observe(began, err)
 	return page, err
 }
--- a/internal/platform/store/monitor_test.go
+++ b/internal/platform/store/monitor_test.go
@@ -14,44 +14,44 @@
 	"guavaglade.example/guavaglade/internal/standin/rows"
 )
 
-const cost = 5 * time.Millisecond
+const callLatency = 5 * time.Millisecond
 
 var (
-	ctx  = context.Background()
-	key  = store.Key{Table: "t", Partition: "p", Name: "n"}
-	full = store.Range{Table: "t", Partition: "p"}
+	ctx        = context.Background()
+	key        = store.Key{Table: "t", Partition: "p", Name: "n"}
+	wholeRange = store.Range{Table: "t", Partition: "p"}
 )
 
-type watched struct {
+type monitored struct {
 	*store.Monitor
 	link    *rows.Link
 	changes []bool
 }
 
-func newWatched() *watched {
-	w := &watched{link: rows.NewLink(rows.New(cost), rand.New(rand.NewPCG(1, 1)))}
+func newMonitored() *monitored {
+	w := &monitored{link: rows.NewLink(rows.New(callLatency), rand.New(rand.NewPCG(1, 1)))}
 	w.Monitor = store.NewMonitor(w.link, key, func(up bool, _ error) { w.changes = append(w.changes, up) })
 	return w
 }
 
-// follow has the gauge ask by itself until the function that it returns is called.
-func (w *watched) follow() (end func()) {
-	following, end := context.WithCancel(ctx)
-	go w.Run(following)
+// runProbes has the gauge ask by itself until the function that it returns is called.
+func (w *monitored) runProbes() (end func()) {
+	running, end := context.WithCancel(ctx)
+	go w.Run(running)
 	return end
 }
 
-func (w *watched) read() error {
-	_, err := w.Read(ctx, full)
+func (w *monitored) read() error {
+	_, err := w.Read(ctx, wholeRange)
 	return err
 }
 
 // One call that fails may be a connection that was reset; two in a row are a store
 // that does not serve this host. One that goes well ends that.
-func TestGaugeFollowsCalls(t *testing.T) {
+func TestMonitorDownAfterTwoFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWatched()
+		w := newMonitored()
 		w.link.Set(rows.Trouble{Refuse: true})
 		is.True(w.read() != nil)
 		is.True(w.Up())
@@ -66,16 +66,16 @@
 
 // A conflict is an answer. A call that its caller gave up on says nothing of the
 // store: a host whose clients leave would find its store down.
-func TestGaugeKnowsWhatIsNoFailure(t *testing.T) {
+func TestMonitorIgnoresConflictsAndCancelledCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWatched()
+		w := newMonitored()
 		conflict := store.Tx{Expect: []store.Expect{{Key: key, Version: 7}}, Put: []store.Put{{Key: key, Value: []byte("x")}}}
 		w.link.Set(rows.Trouble{Silent: true})
 		for range 5 {
-			left, cancel := context.WithCancel(ctx)
+			abandoned, cancel := context.WithCancel(ctx)
 			time.AfterFunc(time.Second, cancel)
-			_, err := w.Read(left, full)
+			_, err := w.Read(abandoned, wholeRange)
 			is.True(err != nil)
 		}
 		is.True(w.Up())
@@ -90,11 +90,11 @@
 
 // Nobody calls a store that has gone silent. The host asks by itself, and knows
 // within a few seconds; when the store is back, within one.
-func TestGaugeAsksWhenItIsQuiet(t *testing.T) {
+func TestMonitorProbesIdleStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWatched()
-		defer w.follow()()
+		w := newMonitored()
+		defer w.runProbes()()
 		time.Sleep(10 * time.Second)
 		is.True(w.Up())
 		is.True(w.link.Calls() <= 12) // about one a second
@@ -109,31 +109,31 @@
 
 // A store that loses the answers to writes answers questions: it does not count as
 // down for longer than one of them takes.
-func TestGaugeOverALossyStore(t *testing.T) {
+func TestMonitorStaysUpWhenAnswersAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWatched()
-		defer w.follow()()
+		w := newMonitored()
+		defer w.runProbes()()
 		w.link.Set(rows.Trouble{Lose: 1})
 		for range 3 {
 			_, err := w.Commit(ctx, store.Tx{Put: []store.Put{{Key: key, Value: []byte("x")}}})
 			is.True(errors.Is(err, store.ErrOutcomeUnknown))
 		}
-		time.Sleep(3 * cost)
+		time.Sleep(3 * callLatency)
 		is.True(w.Up())
 	})
 }
 
 // What calls usually take follows a store that turns slow within a few calls.
-func TestUsual(t *testing.T) {
+func TestTypicalLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWatched()
+		w := newMonitored()
 		is.Equal(w.TypicalLatency(), time.Duration(0))
 		for range 20 {
 			is.NoErr(w.read())
 		}
-		is.True(w.TypicalLatency() < 2*cost)
+		is.True(w.TypicalLatency() < 2*callLatency)
 		w.link.Set(rows.Trouble{Slow: 300 * time.Millisecond})
 		for range 5 {
 			is.NoErr(w.read())
--- a/internal/platform/store/recovered.go
+++ b/internal/platform/store/recovered.go
@@ -5,7 +5,7 @@
 // RunUntilRecovered runs f until it ends or the channel is closed, as Monitor.Recovered returns
 // one. It reports whether f was cut short; its error is then of no meaning. A call that
 // was on its way through an outage would hang until its time-out.
-func RunUntilRecovered(ctx context.Context, regained <-chan struct{}, f func(ctx context.Context) error) (cut bool, err error) {
+func RunUntilRecovered(ctx context.Context, recovered <-chan struct{}, f func(ctx context.Context) error) (interrupted bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan error, 1)
@@ -13,7 +13,7 @@
 	select {
 	case err := <-done:
 		return false, err
-	case <-regained:
+	case <-recovered:
 		cancel()
 		<-done
 		return true, nil
--- a/internal/work/graph/graph_test.go
+++ b/internal/work/graph/graph_test.go
@@ -16,7 +16,7 @@
 
 const id = graph.JobID("00112233445566aa")
 
-func sound() *graph.Job {
+func validJob() *graph.Job {
 	step := graph.Step{Count: 2, Needs: graph.Resources{CPU: 100}, Estimate: time.Second}
 	after := step
 	after.After = []int{0}
@@ -24,10 +24,10 @@
 }
 
 // Each way in which a job cannot be accepted has its own words.
-func TestCheck(t *testing.T) {
+func TestValidate(t *testing.T) {
 	is := is.New(t)
-	is.NoErr(sound().Validate())
-	for want, spoil := range map[string]func(j *graph.Job){
+	is.NoErr(validJob().Validate())
+	for want, invalidate := range map[string]func(j *graph.Job){
 		"hexadecimal":     func(j *graph.Job) { j.ID = "x" },
 		"spec":            func(j *graph.Job) { j.Spec = strings.Repeat("x", graph.MaxSpecBytes+1) },
 		"0 steps":         func(j *graph.Job) { j.Steps = nil },
@@ -39,8 +39,8 @@
 		"after step -1":   func(j *graph.Job) { j.Steps[1].After = []int{-1} },
 		"tasks, at most":  func(j *graph.Job) { j.Steps[0].Count, j.Steps[1].Count = graph.MaxTasks, 1 },
 	} {
-		j := sound()
-		spoil(j)
+		j := validJob()
+		invalidate(j)
 		err := j.Validate()
 		is.True(errors.Is(err, graph.ErrInvalid))
 		if !strings.Contains(err.Error(), want) {
@@ -49,16 +49,16 @@
 	}
 }
 
-// chain is the longest chain by trying all ways back from each step.
-func chain(j *graph.Job, step int) time.Duration {
+// longestPath is the longest longestPath by trying all ways back from each step.
+func longestPath(j *graph.Job, step int) time.Duration {
 	longest := time.Duration(0)
 	for _, a := range j.Steps[step].After {
-		longest = max(longest, chain(j, a))
+		longest = max(longest, longestPath(j, a))
 	}
 	return longest + j.Steps[step].Estimate
 }
 
-func TestChainAgainstAllWays(t *testing.T) {
+func TestCriticalPathMatchesExhaustiveSearch(t *testing.T) {
 	seeded.Check(t, func(rt *rapid.T) {
 		j := &graph.Job{ID: id}
 		for i := range rapid.IntRange(1, 7).Draw(rt, "steps") {
@@ -72,7 +72,7 @@
 		}
 		want := time.Duration(0)
 		for i := range j.Steps {
-			want = max(want, chain(j, i))
+			want = max(want, longestPath(j, i))
 		}
 		if got := j.CriticalPath(); got != want {
 			rt.Fatalf("chain %v, want %v", got, want)
@@ -93,7 +93,7 @@
 }
 
 func ExampleJob_Objective() {
-	j := sound()
+	j := validJob()
 	fmt.Println(j.CriticalPath(), j.Objective())
 	// Output: 2s 5s
 }
--- a/internal/work/graph/job.go
+++ b/internal/work/graph/job.go
@@ -42,8 +42,8 @@
 }
 
 // FitsIn reports whether r fits into room.
-func (r Resources) FitsIn(room Resources) bool {
-	return r.CPU <= room.CPU && r.MemoryMB <= room.MemoryMB && r.Accelerators <= room.Accelerators
+func (r Resources) FitsIn(free Resources) bool {
+	return r.CPU <= free.CPU && r.MemoryMB <= free.MemoryMB && r.Accelerators <= free.Accelerators
 }
 
 // Step is a number of alike tasks.
@@ -145,7 +145,7 @@
 		return fmt.Errorf("%w: negative interval", ErrInvalid)
 	}
 	for i := range j.Steps {
-		if err := j.Steps[i].check(i); err != nil {
+		if err := j.Steps[i].validate(i); err != nil {
 			return fmt.Errorf("%w: step %d: %w", ErrInvalid, i, err)
 		}
 	}
@@ -155,7 +155,7 @@
 	return nil
 }
 
-func (s *Step) check(own int) error {
+func (s *Step) validate(own int) error {
 	if s.Count < 1 || s.Count > MaxTasks {
 		return fmt.Errorf("%d tasks", s.Count)
 	}
--- a/internal/work/progress/progress_test.go
+++ b/internal/work/progress/progress_test.go
@@ -29,7 +29,7 @@
 
 // A leader takes over from one of an earlier version, whose rows name each task's
 // place by itself. Overlooked, the runs would be started a second time.
-func TestEarlierRows(t *testing.T) {
+func TestDecodeLegacyRows(t *testing.T) {
 	is := is.New(t)
 	j, err := progress.Decode([]byte(`{"state":"running","steps":{"0.0":{"runs":{"0":2,"3":1},"placed":{"3":{"target":"t#9","run":1},"0":{"target":"t#1","run":2}}}}}`))
 	is.NoErr(err)
@@ -38,7 +38,7 @@
 
 // The row of a step of 78 tasks that run on 20 targets is sent with each end: it must
 // stay under ten bytes a task beside the names of the targets.
-func TestWideStepIsShort(t *testing.T) {
+func TestWideStepRowSize(t *testing.T) {
 	is := is.New(t)
 	const tasks, targets, nameBytes = 78, 20, 20
 	s := &progress.Step{}
@@ -53,7 +53,7 @@
 
 // A row of another writer names no state of ours: it is refused, not taken for a
 // job that has not begun.
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeRejectsMalformedRows(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"", "{}", `{"state":"resting"}`, `{"state":7}`, `[1]`, `{"state":"running","steps":{"0.0":{"done":"x"}}}`, `{"state":"running","steps":{"0.0":{"on":{"t":[1]}}}}`} {
 		_, err := progress.Decode([]byte(text))
--- a/internal/work/progress/step.go
+++ b/internal/work/progress/step.go
@@ -32,12 +32,12 @@
 // stepRow is a step in a row. Rows of wide steps are written again with each end, and
 // are most of what a leader sends: so what is alike in many tasks stands there once.
 type stepRow struct {
-	Done     *big.Int         `json:"done,omitempty"`
-	Failures map[int][]int    `json:"failures,omitempty"`
-	Saved    map[int]string   `json:"saved,omitempty"`
-	Runs     map[int]int      `json:"runs,omitempty"`
-	Placed   map[string][]int `json:"on,omitempty"` // task and run in turn, by target
-	Old      map[int]struct { // as earlier versions wrote it
+	Done       *big.Int         `json:"done,omitempty"`
+	Failures   map[int][]int    `json:"failures,omitempty"`
+	Saved      map[int]string   `json:"saved,omitempty"`
+	Runs       map[int]int      `json:"runs,omitempty"`
+	Placements map[string][]int `json:"on,omitempty"` // task and run in turn, by target
+	Legacy     map[int]struct { // as earlier versions wrote it
 		Target string `json:"target"`
 		Run    int    `json:"run"`
 	} `json:"placed,omitempty"`
@@ -47,10 +47,10 @@
 func (s *Step) MarshalJSON() ([]byte, error) {
 	row := stepRow{Done: s.Done, Failures: s.FailedRuns, Saved: s.Checkpoints, Runs: s.LastRuns}
 	if len(s.Placements) > 0 {
-		row.Placed = make(map[string][]int, len(s.Placements))
+		row.Placements = make(map[string][]int, len(s.Placements))
 	}
 	for _, p := range s.Placements {
-		row.Placed[p.Target] = append(row.Placed[p.Target], p.Task, p.Run)
+		row.Placements[p.Target] = append(row.Placements[p.Target], p.Task, p.Run)
 	}
 	return json.Marshal(row)
 }
@@ -65,7 +65,7 @@
 		return err
 	}
 	*s = Step{Done: row.Done, FailedRuns: row.Failures, Checkpoints: row.Saved, LastRuns: row.Runs}
-	for target, pairs := range row.Placed {
+	for target, pairs := range row.Placements {
 		if len(pairs)%2 != 0 {
 			return errMalformedPlacements
 		}
@@ -73,7 +73,7 @@
 			s.Placements = append(s.Placements, Placement{Task: pairs[i], Target: target, Run: pairs[i+1]})
 		}
 	}
-	for task, p := range row.Old {
+	for task, p := range row.Legacy {
 		s.Placements = append(s.Placements, Placement{Task: task, Target: p.Target, Run: p.Run})
 	}
 	slices.SortFunc(s.Placements, Placement.compare)
--- a/internal/work/request/request.go
+++ b/internal/work/request/request.go
@@ -27,8 +27,8 @@
 	ErrNotFound = errors.New("not in the configuration")
 )
 
-// idForm is what a request id may look like.
-var idForm = regexp.MustCompile(`^[A-Za-z0-9._-]{1,100}$`)
+// requestIDPattern is what a request id may look like.
+var requestIDPattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,100}$`)
 
 // Request is what a client asks for.
 type Request struct {
@@ -48,7 +48,7 @@
 // Resolve returns the job that an account asks for at a time. The error wraps
 // ErrInvalid or ErrUnknown.
 func (r Request) Resolve(c *text.Config, account string, at time.Time) (*graph.Job, error) {
-	if !idForm.MatchString(r.RequestID) {
+	if !requestIDPattern.MatchString(r.RequestID) {
 		return nil, fmt.Errorf("%w: requestId %q: want 1 to 100 letters, digits and . _ -", ErrInvalid, r.RequestID)
 	}
 	if len(r.Input) > MaxInputBytes {
@@ -67,7 +67,7 @@
 		ID: JobID(account, r.RequestID), Account: account, Spec: string(r.Input), AtMostOnce: !k.Repeatable(),
 		AcceptedAt: at.UnixMilli(), Steps: []graph.Step{stepOf(k)},
 	}
-	fill(j, q)
+	applyQueue(j, q)
 	if k.StartIn() > 0 {
 		j.StartBy = at.Add(k.StartIn()).UnixMilli()
 	}
@@ -77,10 +77,10 @@
 	return j, nil
 }
 
-// fill completes a job with what its queue says.
-func fill(j *graph.Job, q catalog.Queue) {
+// applyQueue completes a job with what its queue says.
+func applyQueue(j *graph.Job, q catalog.Queue) {
 	j.Queue, j.Service, j.Priority, j.MaxAttempts = q.Name, q.Service, q.Priority, q.MaxAttempts
-	j.SlackFactor, j.Allowance = q.Slack, q.Allowance
+	j.SlackFactor, j.Allowance = q.SlackFactor, q.Allowance
 }
 
 // stepOf returns the tasks of a kind. Members that must stand on one worker are
--- a/internal/work/request/request_test.go
+++ b/internal/work/request/request_test.go
@@ -13,7 +13,7 @@
 	"guavaglade.example/guavaglade/internal/work/request"
 )
 
-const described = `
+const configText = `
 [service refill]
 objectiveTarget = 0.9
 objectiveWithin = 5s
@@ -41,7 +41,7 @@
 
 func config(t *testing.T) *text.Config {
 	t.Helper()
-	c, err := text.Parse([]byte(described))
+	c, err := text.Parse([]byte(configText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-func TestJob(t *testing.T) {
+func TestResolve(t *testing.T) {
 	is := is.New(t)
 	c := config(t)
 	label, err := request.Request{RequestID: "r1", Service: "refill", Job: "label", Input: []byte("x")}.Resolve(c, "norte", noon)
@@ -76,7 +76,7 @@
 	is.Equal(bill.MaxAttempts, 1)
 }
 
-func TestRefused(t *testing.T) {
+func TestResolveRejectsInvalidRequests(t *testing.T) {
 	c := config(t)
 	for name, r := range map[string]request.Request{
 		"no request id": {Service: "refill", Job: "label"},
@@ -97,7 +97,7 @@
 // A request that is sent again is the same job, whichever host it comes to; the
 // ids of two accounts never meet, not even where one's name ends as the other's
 // request begins.
-func TestJobID(t *testing.T) {
+func TestJobIDIsStableAndUnique(t *testing.T) {
 	is := is.New(t)
 	is.Equal(request.JobID("norte", "r1"), request.JobID("norte", "r1"))
 	is.True(request.JobID("norte", "r1") != request.JobID("sur", "r1"))
