--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -17,7 +17,7 @@
 	Public      bool   // no key is needed
 	Priority    int    // 0 comes first
 	MaxAttempts int
-	Slack       float64       // objective: so many times a job's longest chain of work
+	SlackFactor float64       // objective: so many times a job's longest chain of work
 	Allowance   time.Duration // and so much besides
 	Timeout     time.Duration // of a request; 0: none
 	Advised     bool          // the advice service names the targets that may run a step
@@ -33,10 +33,10 @@
 
 // Service is a pool of targets.
 type Service struct {
-	Name      string
-	Guards    bool // its targets refuse what does not fit
-	Standby   bool // its machines are off and not paid for
-	Objective Objective
+	Name            string
+	RejectsOverload bool // its targets refuse what does not fit
+	Standby         bool // its machines are off and not paid for
+	Objective       Objective
 }
 
 // Objective is a service-level objective: a share of the jobs ends well within a
@@ -48,11 +48,11 @@
 
 // Limits bound requests of clients; 0 stands for none.
 type Limits struct {
-	Header      int // bytes
-	Body        int // bytes
-	HeaderTime  time.Duration
-	IdleTime    time.Duration
-	RequestRate float64
+	MaxHeaderBytes int // bytes
+	MaxBodyBytes   int // bytes
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
+	RequestRate    float64
 }
 
 // Catalog is one version of the configuration.
--- a/internal/config/catalog/catalog_test.go
+++ b/internal/config/catalog/catalog_test.go
@@ -54,12 +54,12 @@
 // A configuration reaches a host from the store and from its peers, in any order
 // and more than once: what is in force never goes back to an older version, and a
 // text that cannot be read leaves it as it is.
-func TestKeeperNeverGoesBack(t *testing.T) {
+func TestKeeperIgnoresOlderVersions(t *testing.T) {
 	is := is.New(t)
-	errOdd := errors.New("odd")
+	errMalformed := errors.New("odd")
 	k := catalog.NewKeeper(func(stored []byte) (*catalog.Catalog, error) {
 		if stored[0] == 'x' {
-			return nil, errOdd
+			return nil, errMalformed
 		}
 		return sample(int64(stored[0] - '0')), nil
 	})
@@ -73,7 +73,7 @@
 	is.True(!offer("1"))
 	is.True(!offer("2"))
 	_, err := k.Offer([]byte("x"))
-	is.True(errors.Is(err, errOdd))
+	is.True(errors.Is(err, errMalformed))
 	is.Equal(k.Version(), int64(2))
 	is.True(offer("5"))
 	is.Equal(k.Stored(), []byte("5"))
--- a/internal/config/catalog/keeper.go
+++ b/internal/config/catalog/keeper.go
@@ -11,25 +11,25 @@
 // Keeper holds the configuration in force on a host, safe for several
 // goroutines. Versions only rise.
 type Keeper struct {
-	decode Decode
-	mu     sync.RWMutex
-	now    *Catalog // nil: none yet
-	stored []byte   // as it was decoded, for peers
+	decode  Decode
+	mu      sync.RWMutex
+	current *Catalog // nil: none yet
+	stored  []byte   // as it was decoded, for peers
 }
 
 // NewKeeper returns a keeper without a configuration.
 func NewKeeper(d Decode) *Keeper { return &Keeper{decode: d} }
 
-// Now returns the configuration in force, or nil if there is none yet.
-func (k *Keeper) Now() *Catalog {
+// Current returns the configuration in force, or nil if there is none yet.
+func (k *Keeper) Current() *Catalog {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
-	return k.now
+	return k.current
 }
 
 // Version returns the version in force, 0 for none.
 func (k *Keeper) Version() int64 {
-	if c := k.Now(); c != nil {
+	if c := k.Current(); c != nil {
 		return c.Version()
 	}
 	return 0
@@ -51,9 +51,9 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.now != nil && k.now.Version() >= c.Version() {
+	if k.current != nil && k.current.Version() >= c.Version() {
 		return false, nil
 	}
-	k.now, k.stored = c, stored
+	k.current, k.stored = c, stored
 	return true, nil
 }
--- a/internal/config/version/version.go
+++ b/internal/config/version/version.go
@@ -24,11 +24,11 @@
 
 // Errors of a change.
 var (
-	// ErrBase says that the change was based on another version than the
+	// ErrStaleBase says that the change was based on another version than the
 	// current one.
-	ErrBase = errors.New("based on another version than the current one")
-	// ErrOtherText says that the change id was used with another text.
-	ErrOtherText = errors.New("the change id was used with another text")
+	ErrStaleBase = errors.New("based on another version than the current one")
+	// ErrChangeIDReused says that the change id was used with another text.
+	ErrChangeIDReused = errors.New("the change id was used with another text")
 )
 
 // Decode reads a stored version.
@@ -43,9 +43,9 @@
 	return v, nil
 }
 
-// Catalog reads a stored version as the configuration in force, as
+// DecodeCatalog reads a stored version as the configuration in force, as
 // catalog.Decode.
-func Catalog(stored []byte) (*catalog.Catalog, error) {
+func DecodeCatalog(stored []byte) (*catalog.Catalog, error) {
 	v, err := Decode(stored)
 	if err != nil {
 		return nil, err
@@ -54,21 +54,21 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration version %d: %w", v.Number, err)
 	}
-	return Translate(v.Number, c), nil
+	return BuildCatalog(v.Number, c), nil
 }
 
 // Attempts and waits of jobs that the text describes.
 const (
-	// attempts is how often a repeatable job's task may fail.
-	attempts = 3
-	// slack and allowance make the objective of a job whose service has none.
-	slack     = 3
-	allowance = 10 * time.Second
+	// defaultMaxAttempts is how often a repeatable job's task may fail.
+	defaultMaxAttempts = 3
+	// defaultSlackFactor and allowance make the objective of a job whose service has none.
+	defaultSlackFactor = 3
+	defaultAllowance   = 10 * time.Second
 )
 
-// Translate returns the queues, accounts and services of a text: each job that it
+// BuildCatalog returns the queues, accounts and services of a text: each job that it
 // describes is a queue of its own.
-func Translate(number int64, c *text.Config) *catalog.Catalog {
+func BuildCatalog(number int64, c *text.Config) *catalog.Catalog {
 	var queues []catalog.Queue
 	var services []catalog.Service
 	for _, name := range c.Services() {
@@ -89,26 +89,26 @@
 // Priorities of jobs: urgent ones and those under a guarantee may have room
 // cleared for them.
 const (
-	priorityUrgent  = 0
-	priorityUsual   = 1
-	priorityBorrows = 2
+	priorityUrgent = 0
+	priorityNormal = 1
+	priorityLow    = 2
 )
 
 // Queue returns the queue of a kind of job.
 func Queue(s text.Service, k text.Kind) catalog.Queue {
 	q := catalog.Queue{
-		Name: s.Name() + "." + k.Name(), Service: s.Name(), Priority: priorityUsual, MaxAttempts: attempts,
-		Slack: slack, Allowance: allowance,
+		Name: s.Name() + "." + k.Name(), Service: s.Name(), Priority: priorityNormal, MaxAttempts: defaultMaxAttempts,
+		SlackFactor: defaultSlackFactor, Allowance: defaultAllowance,
 	}
 	if o := s.Objective(); o.Target > 0 {
 		q.Allowance = o.Within
-		q.Slack = 1
+		q.SlackFactor = 1
 	}
 	switch {
 	case k.Urgent() || k.Guaranteed():
 		q.Priority = priorityUrgent
 	case k.Stoppable():
-		q.Priority = priorityBorrows
+		q.Priority = priorityLow
 	}
 	if !k.Repeatable() {
 		q.MaxAttempts = 1
@@ -134,9 +134,9 @@
 	case current.Change == change && current.Text == body:
 		return current, nil // an earlier try whose answer was lost
 	case current.Change == change:
-		return current, fmt.Errorf("change %s: %w", change, ErrOtherText)
+		return current, fmt.Errorf("change %s: %w", change, ErrChangeIDReused)
 	case current.Number != base:
-		return current, fmt.Errorf("change %s: based on %d, current is %d: %w", change, base, current.Number, ErrBase)
+		return current, fmt.Errorf("change %s: based on %d, current is %d: %w", change, base, current.Number, ErrStaleBase)
 	}
 	next := Version{Number: base + 1, Change: change, Text: body}
 	value, err := json.Marshal(next)
--- a/internal/config/version/version_test.go
+++ b/internal/config/version/version_test.go
@@ -43,13 +43,13 @@
 	return rows.NewLink(rows.New(time.Millisecond), rand.New(rand.NewPCG(1, 1)))
 }
 
-func TestCatalog(t *testing.T) {
+func TestDecodeCatalog(t *testing.T) {
 	is := is.New(t)
-	c, err := version.Catalog([]byte(`{"number":4,"change":"a","text":"[service refill]\n"}`))
+	c, err := version.DecodeCatalog([]byte(`{"number":4,"change":"a","text":"[service refill]\n"}`))
 	is.NoErr(err)
 	is.Equal(c.Version(), int64(4))
 	for _, odd := range []string{``, `[]`, `{"number":0}`, `{"number":1,"text":"[nonsense"}`} {
-		if _, err := version.Catalog([]byte(odd)); err == nil {
+		if _, err := version.DecodeCatalog([]byte(odd)); err == nil {
 			t.Errorf("%q was taken", odd)
 		}
 	}
@@ -58,7 +58,7 @@
 // Two operators change the text at once, both from the version that they see. One
 // is told that another was faster, and with which version; nothing is lost or
 // mixed.
-func TestChangesRace(t *testing.T) {
+func TestConcurrentChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := link()
@@ -75,13 +75,13 @@
 		}
 		one, two := <-results, <-results
 		is.True((one == nil) != (two == nil))
-		is.True(errors.Is(errors.Join(one, two), version.ErrBase))
+		is.True(errors.Is(errors.Join(one, two), version.ErrStaleBase))
 	})
 }
 
 // The answer to a change was lost, and the operator puts it again with the same
 // change id: it is the same version. With another text it is refused.
-func TestChangeAgain(t *testing.T) {
+func TestChangeIsIdempotent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := link()
@@ -92,7 +92,7 @@
 		is.NoErr(err)
 		is.Equal(again, first)
 		_, err = version.Change(ctx, s, 1, "a", body+"\n")
-		is.True(errors.Is(err, version.ErrOtherText))
+		is.True(errors.Is(err, version.ErrChangeIDReused))
 		row, err := store.Get(ctx, s, version.Key)
 		is.NoErr(err)
 		stored, err := version.Decode(row.Value)
@@ -103,7 +103,7 @@
 
 // Each job that the text describes is a queue, and what an account is guaranteed in
 // all zones is added up.
-func TestTranslate(t *testing.T) {
+func TestBuildCatalog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := link()
@@ -111,7 +111,7 @@
 		is.NoErr(err)
 		row, err := store.Get(context.Background(), s, version.Key)
 		is.NoErr(err)
-		c, err := version.Catalog(row.Value)
+		c, err := version.DecodeCatalog(row.Value)
 		is.NoErr(err)
 		q := c.Queues()[0]
 		is.Equal(q.Name, "refill.bill")
--- a/internal/host/api/configuration.go
+++ b/internal/host/api/configuration.go
@@ -80,9 +80,9 @@
 	}
 	v, err := version.Change(r.Context(), a.station.Store(), body.Base, body.Change, body.Text)
 	switch {
-	case errors.Is(err, version.ErrOtherText):
+	case errors.Is(err, version.ErrChangeIDReused):
 		Problem{Status: http.StatusUnprocessableEntity, Detail: err.Error()}.write(w, now)
-	case errors.Is(err, version.ErrBase):
+	case errors.Is(err, version.ErrStaleBase):
 		Problem{Status: http.StatusConflict, Detail: err.Error(), Current: v.Number}.write(w, now)
 	case err != nil:
 		changeFailed(w, err, now)
--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -307,7 +307,7 @@
 	if o.keeper == nil {
 		return
 	}
-	now := o.keeper.Now()
+	now := o.keeper.Current()
 	if now == nil || now.Version() == o.configured {
 		return
 	}
@@ -359,7 +359,7 @@
 	}
 	list = slices.Clone(list)
 	for i := range list {
-		list[i].Draining = list[i].Draining || o.keeper.Now().Leaving(list[i].ID)
+		list[i].Draining = list[i].Draining || o.keeper.Current().Leaving(list[i].ID)
 	}
 	return list, nil
 }
--- a/internal/host/process/process.go
+++ b/internal/host/process/process.go
@@ -66,7 +66,7 @@
 	id := station.Identity{
 		Name: s.PeerAddress(), Zone: s.Zone(), Peers: s.PeerAddress(), Power: float64(runtime.GOMAXPROCS(0)),
 	}
-	p.station = station.New(id, ports, station.Configuration{Key: version.Key, Decode: version.Catalog}, log, opts...)
+	p.station = station.New(id, ports, station.Configuration{Key: version.Key, Decode: version.DecodeCatalog}, log, opts...)
 	p.api = api.New(p.station, s, shown)
 	p.http = &http.Server{
 		Handler: p.api.Handler(), MaxHeaderBytes: s.MaxHeader(),
--- a/internal/host/station/config.go
+++ b/internal/host/station/config.go
@@ -117,7 +117,7 @@
 // Evacuations returns the zones that operators evacuate, by the configuration or by
 // rows of their own.
 func (s *Station) Evacuations() evacuation.Status {
-	return s.zones.Now().With(s.keeper.Now().Evacuated()...)
+	return s.zones.Now().With(s.keeper.Current().Evacuated()...)
 }
 
 // offer takes a stored configuration; one that cannot be read is passed over, and
--- a/internal/host/station/station.go
+++ b/internal/host/station/station.go
@@ -150,7 +150,7 @@
 
 // recordOutcome counts a job that ended, for the burn report.
 func (s *Station) recordOutcome(d dispatch.Settled) {
-	objectives := s.keeper.Now().Objectives()
+	objectives := s.keeper.Current().Objectives()
 	well := d.State == progress.Completed
 	if objectives[d.Job.Service].Within == 0 {
 		well = well && d.Took <= d.Job.Objective()
@@ -165,7 +165,7 @@
 	if err != nil {
 		return burn.Report{}, err
 	}
-	return counted.Report(time.Now(), s.keeper.Now().Objectives())
+	return counted.Report(time.Now(), s.keeper.Current().Objectives())
 }
 
 // Views returns what operators and clients read.
@@ -206,7 +206,7 @@
 // be stored, as in a zone that is cut off, would refuse them all; if all hosts of
 // a zone say so, its clients go to the next zone.
 func (s *Station) Ready() bool {
-	return !s.stopping.Load() && s.keeper.Now() != nil && s.exchange.Serves()
+	return !s.stopping.Load() && s.keeper.Current() != nil && s.exchange.Serves()
 }
 
 // Figures of a planned stop.
