--- a/internal/work/graph/graph_test.go
+++ b/internal/work/graph/graph_test.go
@@ -23,7 +23,7 @@
 	return &graph.Job{ID: id, SlackFactor: 2, Allowance: time.Second, Steps: []graph.Step{step, after}}
 }
 
-// Each way in which a job cannot be accepted has its own words.
+// The error for an invalid job names the property that is wrong.
 func TestValidate(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(validJob().Validate())
@@ -44,12 +44,12 @@
 		err := j.Validate()
 		is.True(errors.Is(err, graph.ErrInvalid))
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%v: want %q in it", err, want)
+			t.Errorf("error %q does not contain %q", err, want)
 		}
 	}
 }
 
-// longestPath is the longest longestPath by trying all ways back from each step.
+// longestPath returns the longest path that ends with a step, by exhaustive search.
 func longestPath(j *graph.Job, step int) time.Duration {
 	longest := time.Duration(0)
 	for _, a := range j.Steps[step].After {
@@ -75,7 +75,7 @@
 			want = max(want, longestPath(j, i))
 		}
 		if got := j.CriticalPath(); got != want {
-			rt.Fatalf("chain %v, want %v", got, want)
+			rt.Fatalf("critical path %v, want %v", got, want)
 		}
 	})
 }
@@ -87,7 +87,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		if id, err := graph.ParseTaskID(text); err == nil && id.String() != text {
-			t.Fatalf("%q is read as %s", text, id)
+			t.Fatalf("%q parsed as %s", text, id)
 		}
 	})
 }
--- a/internal/work/graph/job.go
+++ b/internal/work/graph/job.go
@@ -6,68 +6,68 @@
 	"time"
 )
 
-// Bounds of what is accepted. They keep one job's rows within the platform's
-// row size and one request within a host's memory.
+// Limits of an accepted job. They keep one job's rows within the platform's row
+// size and one request within a host's memory.
 const (
-	MaxSpecBytes   = 4000  // bytes of a job's spec, as the interface says
+	MaxSpecBytes   = 4000  // size of a job's spec, as the interface defines it
 	MaxSteps       = 64    // steps of a job
 	MaxTasks       = 4096  // tasks of one occurrence; its progress row stays under 64 KB
-	MaxOccurrences = 10000 // times that a job may recur
+	MaxOccurrences = 10000 // occurrences of a job
 )
 
-// ErrInvalid is wrapped by the refusal of a job that can never be run as it is
-// written.
+// ErrInvalid is wrapped by errors about a job that can never run as it is
+// specified.
 var ErrInvalid = errors.New("invalid job")
 
-// Resources is what a task takes of a target, or what a target has.
+// Resources is what a task requires of a target, or what a target has.
 type Resources struct {
 	CPU          int `json:"cpu,omitempty"`          // thousandths of a core
 	MemoryMB     int `json:"memoryMB,omitempty"`     // megabytes
 	Accelerators int `json:"accelerators,omitempty"` // whole accelerators
 }
 
-// Plus returns r and o together.
+// Plus returns the sum of r and o.
 func (r Resources) Plus(o Resources) Resources {
 	return Resources{r.CPU + o.CPU, r.MemoryMB + o.MemoryMB, r.Accelerators + o.Accelerators}
 }
 
-// Minus returns r without o. Its parts may be below 0.
+// Minus returns r less o. Its fields may be negative.
 func (r Resources) Minus(o Resources) Resources {
 	return Resources{r.CPU - o.CPU, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
 }
 
-// Times returns n of r.
+// Times returns r multiplied by n.
 func (r Resources) Times(n int) Resources {
 	return Resources{r.CPU * n, r.MemoryMB * n, r.Accelerators * n}
 }
 
-// FitsIn reports whether r fits into room.
+// FitsIn reports whether r is at most free in every resource.
 func (r Resources) FitsIn(free Resources) bool {
 	return r.CPU <= free.CPU && r.MemoryMB <= free.MemoryMB && r.Accelerators <= free.Accelerators
 }
 
-// Step is a number of alike tasks.
+// Step is a number of identical tasks.
 type Step struct {
 	Count          int           `json:"count"`
 	Needs          Resources     `json:"needs"`
-	Estimate       time.Duration `json:"estimate,omitempty"`       // of one task's run; rough, 0 for none
-	After          []int         `json:"after,omitempty"`          // steps whose tasks must all be done first
-	Checkpointing  bool          `json:"checkpointing,omitempty"`  // a run that was stopped can be resumed
-	Gang           bool          `json:"gang,omitempty"`           // the tasks run together or not at all
-	SameRack       bool          `json:"sameRack,omitempty"`       // slower on more than one rack
-	Label          string        `json:"label,omitempty"`          // that the target must have
-	DataRack       string        `json:"dataRack,omitempty"`       // slower on any other rack
+	Estimate       time.Duration `json:"estimate,omitempty"`       // rough duration of one task's run; 0: none
+	After          []int         `json:"after,omitempty"`          // indexes of steps whose tasks must all be done first
+	Checkpointing  bool          `json:"checkpointing,omitempty"`  // a stopped run can be resumed from a checkpoint
+	Gang           bool          `json:"gang,omitempty"`           // all tasks run together or none does
+	SameRack       bool          `json:"sameRack,omitempty"`       // the tasks are slower across racks
+	Label          string        `json:"label,omitempty"`          // that a target must have
+	DataRack       string        `json:"dataRack,omitempty"`       // rack of the data; the tasks are slower on any other
 	PerTarget      int           `json:"perTarget,omitempty"`      // most tasks on one target; 0: no limit
-	Speculative    bool          `json:"copies,omitempty"`         // a task may run twice at once
+	Speculative    bool          `json:"copies,omitempty"`         // a task may have two runs at once
 	LongRunning    bool          `json:"lasting,omitempty"`        // runs until the job is cancelled
-	Image          string        `json:"image,omitempty"`          // tasks of one image behave alike
-	TailLimit      time.Duration `json:"tailLimit,omitempty"`      // of a lasting task's response times; 0: none
-	BestEffortCPU  bool          `json:"filling,omitempty"`        // uses the processor time that others leave
-	MaxUnavailable int           `json:"maxUnavailable,omitempty"` // tasks that may be away at once by our doing
+	Image          string        `json:"image,omitempty"`          // tasks of one image are assumed to behave alike
+	TailLimit      time.Duration `json:"tailLimit,omitempty"`      // on a long-running task's tail latency; 0: none
+	BestEffortCPU  bool          `json:"filling,omitempty"`        // uses only CPU time that other tasks leave idle
+	MaxUnavailable int           `json:"maxUnavailable,omitempty"` // tasks that the scheduler itself may take down at once
 }
 
-// Charge returns what a task takes of a target's room: the processor time of a
-// filling task is not counted.
+// Charge returns what a task counts against a target's capacity. The CPU of a
+// best-effort task is not counted.
 func (s Step) Charge() Resources {
 	if s.BestEffortCPU {
 		return Resources{MemoryMB: s.Needs.MemoryMB, Accelerators: s.Needs.Accelerators}
@@ -75,32 +75,32 @@
 	return s.Needs
 }
 
-// Job is a job as it was accepted, with what its queue said then.
+// Job is an accepted job, with the properties that its queue had then.
 type Job struct {
 	ID          JobID         `json:"id"`
 	Queue       string        `json:"queue"`
 	Service     string        `json:"service"`
 	Account     string        `json:"account,omitempty"` // empty on a public queue
 	Priority    int           `json:"priority,omitempty"`
-	MaxAttempts int           `json:"maxAttempts"`           // failures of a task until the job has failed
-	SlackFactor float64       `json:"slack,omitempty"`       // objective: so many times its longest chain of work
-	Allowance   time.Duration `json:"allowance,omitempty"`   // and so much besides
-	Spec        string        `json:"spec,omitempty"`        // handed to each task as it is
+	MaxAttempts int           `json:"maxAttempts"`           // failures of one task after which the job fails
+	SlackFactor float64       `json:"slack,omitempty"`       // of the objective: multiple of the critical path
+	Allowance   time.Duration `json:"allowance,omitempty"`   // of the objective: added to that multiple
+	Spec        string        `json:"spec,omitempty"`        // passed to each task unchanged
 	Steps       []Step        `json:"steps"`                 //
 	FirstAt     int64         `json:"firstAt,omitempty"`     // time of occurrence 0, in milliseconds since 1970
-	Every       time.Duration `json:"every,omitempty"`       // between occurrences
-	Repeat      int           `json:"repeat,omitempty"`      // occurrences; 0 for a job that does not recur
+	Every       time.Duration `json:"every,omitempty"`       // interval between occurrences
+	Repeat      int           `json:"repeat,omitempty"`      // number of occurrences; 0: the job does not recur
 	AcceptedAt  int64         `json:"acceptedAt,omitempty"`  // milliseconds since 1970 on the accepting host's clock
-	AtMostOnce  bool          `json:"once,omitempty"`        // a task whose run may have begun is never started again
-	StartBy     int64         `json:"startBy,omitempty"`     // given up if nothing has started by then, in milliseconds since 1970; 0: never
-	Advised     bool          `json:"advised,omitempty"`     // the queue's policy names the targets that may run a step
-	AdviceValid time.Duration `json:"adviceValid,omitempty"` // how long a ticket holds
+	AtMostOnce  bool          `json:"once,omitempty"`        // a task is never started again once a run may have begun
+	StartBy     int64         `json:"startBy,omitempty"`     // given up if nothing has started by then, in milliseconds since 1970; 0: no limit
+	Advised     bool          `json:"advised,omitempty"`     // only targets that the advice service permits may run a step
+	AdviceValid time.Duration `json:"adviceValid,omitempty"` // validity of a ticket from the advice service
 }
 
-// Occurrences returns how often the steps run.
+// Occurrences returns how many times the steps run, at least 1.
 func (j *Job) Occurrences() int { return max(j.Repeat, 1) }
 
-// Tasks returns how many tasks the steps have together.
+// Tasks returns the number of tasks of all steps.
 func (j *Job) Tasks() int {
 	n := 0
 	for i := range j.Steps {
@@ -119,8 +119,8 @@
 	return false
 }
 
-// Due returns when an occurrence is due, in milliseconds since 1970, or 0 for
-// at once.
+// Due returns when an occurrence is due, in milliseconds since 1970, or 0 if it
+// is due at once.
 func (j *Job) Due(occurrence int) int64 {
 	if j.Repeat == 0 {
 		return 0
@@ -129,8 +129,8 @@
 }
 
 // Validate returns an error that wraps ErrInvalid if the job cannot be accepted:
-// its id is malformed, it is larger than the bounds, or a step depends on one
-// that does not come before it. Negative amounts are refused, too.
+// its id is malformed, it exceeds a limit, an amount is negative, or a step
+// depends on one that is not earlier in the list.
 func (j *Job) Validate() error {
 	switch {
 	case !j.ID.Valid():
@@ -138,9 +138,9 @@
 	case len(j.Spec) > MaxSpecBytes:
 		return fmt.Errorf("%w: spec of %d bytes, at most %d", ErrInvalid, len(j.Spec), MaxSpecBytes)
 	case len(j.Steps) == 0 || len(j.Steps) > MaxSteps:
-		return fmt.Errorf("%w: %d steps, 1 to %d", ErrInvalid, len(j.Steps), MaxSteps)
+		return fmt.Errorf("%w: %d steps, want 1 to %d", ErrInvalid, len(j.Steps), MaxSteps)
 	case j.Repeat < 0 || j.Repeat > MaxOccurrences:
-		return fmt.Errorf("%w: %d occurrences, 0 to %d", ErrInvalid, j.Repeat, MaxOccurrences)
+		return fmt.Errorf("%w: %d occurrences, want 0 to %d", ErrInvalid, j.Repeat, MaxOccurrences)
 	case j.Every < 0:
 		return fmt.Errorf("%w: negative interval", ErrInvalid)
 	}
@@ -161,17 +161,18 @@
 	}
 	n := s.Needs
 	if n.CPU < 0 || n.MemoryMB < 0 || n.Accelerators < 0 || s.Estimate < 0 || s.PerTarget < 0 || s.MaxUnavailable < 0 {
-		return errors.New("a negative amount")
+		return errors.New("negative amount")
 	}
 	for _, a := range s.After {
 		if a < 0 || a >= own {
-			return fmt.Errorf("after step %d, which does not come before it", a)
+			return fmt.Errorf("after step %d, which is not an earlier step", a)
 		}
 	}
 	return nil
 }
 
-// CriticalPath returns the longest chain of estimated work through the steps.
+// CriticalPath returns the largest sum of estimates along a chain of dependent
+// steps.
 func (j *Job) CriticalPath() time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	longest := time.Duration(0)
@@ -186,8 +187,8 @@
 	return longest
 }
 
-// Objective returns the time within which the job earns its full worth, from
-// its first send or, where it recurs, from an occurrence's time.
+// Objective returns the time within which the job is to complete, counted from
+// its first submission or, if it recurs, from the time at which an occurrence is due.
 func (j *Job) Objective() time.Duration {
 	return time.Duration(j.SlackFactor*float64(j.CriticalPath())) + j.Allowance
 }
--- a/internal/work/graph/task.go
+++ b/internal/work/graph/task.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// JobID identifies a job. It is chosen by the client and makes submission
-// idempotent.
+// JobID identifies a job. It comes from the client's request, so that submission
+// is idempotent.
 type JobID string
 
 // Valid reports whether the id is 16 hexadecimal digits.
@@ -35,7 +35,7 @@
 	return string(s.Job) + "." + strconv.Itoa(s.Occurrence) + "." + strconv.Itoa(s.Step)
 }
 
-// Task returns the id of the step's task with the index.
+// Task returns the id of the task at an index of the step.
 func (s StepID) Task(index int) TaskID { return TaskID{StepID: s, Index: index} }
 
 // TaskID names a task of a step.
@@ -47,18 +47,18 @@
 // String returns the id as JOB.OCCURRENCE.STEP.INDEX.
 func (t TaskID) String() string { return t.StepID.String() + "." + strconv.Itoa(t.Index) }
 
-// ParseTaskID reads what TaskID.String writes. It refuses every other spelling,
-// so that two texts never name the same task.
+// ParseTaskID parses the form that TaskID.String returns. It rejects every other
+// spelling, so that two texts never name the same task.
 func ParseTaskID(text string) (TaskID, error) {
 	fields := strings.Split(text, ".")
 	if len(fields) != 4 || !JobID(fields[0]).Valid() {
-		return TaskID{}, fmt.Errorf("task id %q: not JOB.OCCURRENCE.STEP.INDEX", text)
+		return TaskID{}, fmt.Errorf("task id %q: want JOB.OCCURRENCE.STEP.INDEX", text)
 	}
 	var n [3]int
 	for i, f := range fields[1:] {
 		v, err := strconv.Atoi(f)
 		if err != nil || v < 0 || strconv.Itoa(v) != f {
-			return TaskID{}, fmt.Errorf("task id %q: bad number %q", text, f)
+			return TaskID{}, fmt.Errorf("task id %q: invalid number %q", text, f)
 		}
 		n[i] = v
 	}
