--- a/internal/work/progress/doc.go
+++ b/internal/work/progress/doc.go
@@ -1,4 +1,4 @@
-// Package progress is what must outlive the hosts about a job that was
-// accepted: which tasks are done, how often each failed, from which checkpoint
-// it goes on, and the job's final state.
+// Package progress is the durable state of an accepted job, which outlives the
+// hosts: which tasks are done, which of their runs failed, the checkpoints from
+// which they resume, where runs may exist, and the job's final state.
 package progress
--- a/internal/work/progress/progress.go
+++ b/internal/work/progress/progress.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// State is what a client is shown of a job.
+// State is the state of a job that clients see.
 type State string
 
 // The states. The last four are final.
@@ -24,12 +24,12 @@
 // Job is the durable progress of a job.
 type Job struct {
 	State   State            `json:"state"`
-	Ended   int64            `json:"ended,omitempty"` // of a final state: milliseconds since 1970 on the leader's clock
+	Ended   int64            `json:"ended,omitempty"` // when a final state was reached: milliseconds since 1970 on the leader's clock
 	Started bool             `json:"started,omitempty"`
-	Steps   map[string]*Step `json:"steps,omitempty"` // by OCCURRENCE.STEP; a step without any end is left out
+	Steps   map[string]*Step `json:"steps,omitempty"` // by OCCURRENCE.STEP; a step about which nothing is known is left out
 }
 
-// Encode returns the progress as a row's value.
+// Encode encodes the progress as the value of a row.
 func (j *Job) Encode() ([]byte, error) {
 	b, err := json.Marshal(j)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return b, nil
 }
 
-// Decode reads a row's value. It refuses a state that is not known.
+// Decode decodes the value of a row. An unknown state is an error.
 func Decode(value []byte) (*Job, error) {
 	j := &Job{}
 	if err := json.Unmarshal(value, j); err != nil {
@@ -48,5 +48,5 @@
 	case Queued, Running, Completed, Failed, Cancelled, NotRun:
 		return j, nil
 	}
-	return nil, fmt.Errorf("decode progress: state %q", j.State)
+	return nil, fmt.Errorf("decode progress: unknown state %q", j.State)
 }
--- a/internal/work/progress/progress_test.go
+++ b/internal/work/progress/progress_test.go
@@ -11,7 +11,7 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// What a leader records, its successor reads.
+// Progress that a leader records decodes to the same value for its successor.
 func TestRoundTrip(t *testing.T) {
 	is := is.New(t)
 	j := &progress.Job{State: progress.Running, Started: true, Steps: map[string]*progress.Step{
@@ -27,8 +27,8 @@
 	is.True(reflect.DeepEqual(back, j))
 }
 
-// A leader takes over from one of an earlier version, whose rows name each task's
-// place by itself. Overlooked, the runs would be started a second time.
+// A leader takes over from one of an earlier version, whose rows hold placements by
+// task. If they were ignored, the runs would be started a second time.
 func TestDecodeLegacyRows(t *testing.T) {
 	is := is.New(t)
 	j, err := progress.Decode([]byte(`{"state":"running","steps":{"0.0":{"runs":{"0":2,"3":1},"placed":{"3":{"target":"t#9","run":1},"0":{"target":"t#1","run":2}}}}}`))
@@ -36,8 +36,8 @@
 	is.Equal(j.Steps["0.0"].Placements, []progress.Placement{{Task: 0, Target: "t#1", Run: 2}, {Task: 3, Target: "t#9", Run: 1}})
 }
 
-// The row of a step of 78 tasks that run on 20 targets is sent with each end: it must
-// stay under ten bytes a task beside the names of the targets.
+// The row of a step is sent each time a task ends. For 78 tasks on 20 targets it must
+// take less than ten bytes a task, not counting the names of the targets.
 func TestWideStepRowSize(t *testing.T) {
 	is := is.New(t)
 	const tasks, targets, nameBytes = 78, 20, 20
@@ -51,8 +51,8 @@
 	is.True(len(b) < 100+10*tasks+nameBytes*targets)
 }
 
-// A row of another writer names no state of ours: it is refused, not taken for a
-// job that has not begun.
+// A malformed row, or one with an unknown state, is an error and is not decoded as a
+// job that has not started.
 func TestDecodeRejectsMalformedRows(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"", "{}", `{"state":"resting"}`, `{"state":7}`, `[1]`, `{"state":"running","steps":{"0.0":{"done":"x"}}}`, `{"state":"running","steps":{"0.0":{"on":{"t":[1]}}}}`} {
@@ -78,7 +78,7 @@
 	f.Fuzz(func(t *testing.T, value []byte) {
 		j, err := progress.Decode(value)
 		if (j == nil) != (err != nil) {
-			t.Fatal("progress and error do not exclude each other")
+			t.Fatal("want either progress or an error")
 		}
 		if err == nil {
 			if _, err := j.Encode(); err != nil {
--- a/internal/work/progress/step.go
+++ b/internal/work/progress/step.go
@@ -8,36 +8,37 @@
 	"slices"
 )
 
-// Step is what is known of a step of one occurrence.
+// Step is the progress of a step of one occurrence.
 type Step struct {
 	Done        *big.Int       // bit i: task i is done; nil: none
-	FailedRuns  map[int][]int  // numbers of the runs that failed, by task; of a gang under 0
-	Checkpoints map[int]string // checkpoint by task; of a gang under 0
-	LastRuns    map[int]int    // highest number of a run, by task that is not done and of which no run may exist
+	FailedRuns  map[int][]int  // numbers of the failed runs, by task; a gang's under 0
+	Checkpoints map[int]string // latest checkpoint, by task; a gang's under 0
+	LastRuns    map[int]int    // highest run number, by task, of tasks that are not done and have no placement
 	Placements  []Placement    // runs that may exist
 }
 
-// Placement is where a run of a task may exist.
+// Placement names a target on which a run of a task may exist.
 type Placement struct {
 	Task   int
-	Target string // incarnation
+	Target string // its incarnation
 	Run    int
 }
 
-// compare orders places by task and run.
+// compare orders placements by task, run and target.
 func (p Placement) compare(o Placement) int {
 	return cmp.Or(cmp.Compare(p.Task, o.Task), cmp.Compare(p.Run, o.Run), cmp.Compare(p.Target, o.Target))
 }
 
-// stepRow is a step in a row. Rows of wide steps are written again with each end, and
-// are most of what a leader sends: so what is alike in many tasks stands there once.
+// stepRow is the encoded form of a step. The row of a step is rewritten each time one
+// of its tasks ends, and the rows of wide steps are most of what a leader sends: they
+// hold the name of a target once, not once for each of its tasks.
 type stepRow struct {
-	Done       *big.Int         `json:"done,omitempty"`
-	Failures   map[int][]int    `json:"failures,omitempty"`
-	Saved      map[int]string   `json:"saved,omitempty"`
-	Runs       map[int]int      `json:"runs,omitempty"`
-	Placements map[string][]int `json:"on,omitempty"` // task and run in turn, by target
-	Legacy     map[int]struct { // as earlier versions wrote it
+	Done        *big.Int         `json:"done,omitempty"`
+	FailedRuns  map[int][]int    `json:"failures,omitempty"`
+	Checkpoints map[int]string   `json:"saved,omitempty"`
+	LastRuns    map[int]int      `json:"runs,omitempty"`
+	Placements  map[string][]int `json:"on,omitempty"` // alternating task indexes and run numbers, by target
+	Legacy      map[int]struct { // placements by task, as earlier versions wrote them
 		Target string `json:"target"`
 		Run    int    `json:"run"`
 	} `json:"placed,omitempty"`
@@ -45,7 +46,7 @@
 
 // MarshalJSON implements json.Marshaler.
 func (s *Step) MarshalJSON() ([]byte, error) {
-	row := stepRow{Done: s.Done, Failures: s.FailedRuns, Saved: s.Checkpoints, Runs: s.LastRuns}
+	row := stepRow{Done: s.Done, FailedRuns: s.FailedRuns, Checkpoints: s.Checkpoints, LastRuns: s.LastRuns}
 	if len(s.Placements) > 0 {
 		row.Placements = make(map[string][]int, len(s.Placements))
 	}
@@ -55,8 +56,8 @@
 	return json.Marshal(row)
 }
 
-// errMalformedPlacements says that a list of tasks and runs is not one.
-var errMalformedPlacements = errors.New("progress: places are not pairs of task and run")
+// errMalformedPlacements means that a list of tasks and runs has an odd length.
+var errMalformedPlacements = errors.New("progress: placements are not pairs of task and run")
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (s *Step) UnmarshalJSON(b []byte) error {
@@ -64,7 +65,7 @@
 	if err := json.Unmarshal(b, &row); err != nil {
 		return err
 	}
-	*s = Step{Done: row.Done, FailedRuns: row.Failures, Checkpoints: row.Saved, LastRuns: row.Runs}
+	*s = Step{Done: row.Done, FailedRuns: row.FailedRuns, Checkpoints: row.Checkpoints, LastRuns: row.LastRuns}
 	for target, pairs := range row.Placements {
 		if len(pairs)%2 != 0 {
 			return errMalformedPlacements
