--- a/internal/work/request/request.go
+++ b/internal/work/request/request.go
@@ -16,37 +16,38 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// MaxInputBytes is the largest input of a request, in bytes: it is kept with the job.
+// MaxInputBytes is the largest size of a request's input, which becomes the job's
+// spec.
 const MaxInputBytes = graph.MaxSpecBytes
 
-// Errors of a request.
+// Errors of Request.Resolve.
 var (
-	// ErrInvalid says that a request can never be taken as it is.
+	// ErrInvalid means that the request is malformed; sending it again does not help.
 	ErrInvalid = errors.New("invalid request")
-	// ErrNotFound says that the configuration has no such service or job.
+	// ErrNotFound means that the configuration has no such service or job.
 	ErrNotFound = errors.New("not in the configuration")
 )
 
-// requestIDPattern is what a request id may look like.
+// requestIDPattern matches valid request ids.
 var requestIDPattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,100}$`)
 
-// Request is what a client asks for.
+// Request asks for one job.
 type Request struct {
-	RequestID string `json:"requestId"` // the client's own; the same id is the same job
+	RequestID string `json:"requestId"` // chosen by the client; the same id is the same job
 	Service   string `json:"service"`
 	Job       string `json:"job"`             // name of the job in its service
-	Input     []byte `json:"input,omitempty"` // handed to each task, base64 on the wire
+	Input     []byte `json:"input,omitempty"` // passed to each task, base64 on the wire
 }
 
-// JobID returns the id of an account's request.
+// JobID returns the id of the job for an account's request.
 func JobID(account, requestID string) graph.JobID {
 	const half = 8 // bytes; 16 hexadecimal digits
 	sum := sha256.Sum256([]byte(strconv.Itoa(len(account)) + ":" + account + "/" + requestID))
 	return graph.JobID(hex.EncodeToString(sum[:half]))
 }
 
-// Resolve returns the job that an account asks for at a time. The error wraps
-// ErrInvalid or ErrUnknown.
+// Resolve returns the job for an account's request that arrives at a time. The error
+// wraps ErrInvalid or ErrNotFound.
 func (r Request) Resolve(c *text.Config, account string, at time.Time) (*graph.Job, error) {
 	if !requestIDPattern.MatchString(r.RequestID) {
 		return nil, fmt.Errorf("%w: requestId %q: want 1 to 100 letters, digits and . _ -", ErrInvalid, r.RequestID)
@@ -77,14 +78,14 @@
 	return j, nil
 }
 
-// applyQueue completes a job with what its queue says.
+// applyQueue sets the properties that a job takes from its queue.
 func applyQueue(j *graph.Job, q catalog.Queue) {
 	j.Queue, j.Service, j.Priority, j.MaxAttempts = q.Name, q.Service, q.Priority, q.MaxAttempts
 	j.SlackFactor, j.Allowance = q.SlackFactor, q.Allowance
 }
 
-// stepOf returns the tasks of a kind. Members that must stand on one worker are
-// one task with the needs of all: so they share a worker whatever else happens.
+// stepOf returns the step that runs a kind of job. Members that must share a worker
+// become one task with the needs of all, so that nothing can place them apart.
 func stepOf(k text.Kind) graph.Step {
 	s := k.Shape()
 	step := graph.Step{
--- a/internal/work/request/request_test.go
+++ b/internal/work/request/request_test.go
@@ -67,7 +67,7 @@
 	is.Equal(plan.Steps[0].Count, 4)
 	is.Equal(plan.StartBy, noon.Add(10*time.Second).UnixMilli())
 
-	// Members on one worker are one task with the needs of all.
+	// Members that share a worker are one task with the needs of all.
 	bill, err := request.Request{RequestID: "r3", Service: "refill", Job: "bill"}.Resolve(c, "norte", noon)
 	is.NoErr(err)
 	is.True(bill.AtMostOnce && !bill.Steps[0].Gang)
@@ -80,23 +80,23 @@
 	c := config(t)
 	for name, r := range map[string]request.Request{
 		"no request id": {Service: "refill", Job: "label"},
-		"odd id":        {RequestID: "a b", Service: "refill", Job: "label"},
+		"malformed id":  {RequestID: "a b", Service: "refill", Job: "label"},
 		"large input":   {RequestID: "a", Service: "refill", Job: "label", Input: []byte(strings.Repeat("x", request.MaxInputBytes+1))},
 	} {
 		if _, err := r.Resolve(c, "norte", noon); !errors.Is(err, request.ErrInvalid) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got %v, want ErrInvalid", name, err)
 		}
 	}
 	for _, r := range []request.Request{{RequestID: "a", Service: "x", Job: "label"}, {RequestID: "a", Service: "refill", Job: "x"}} {
 		if _, err := r.Resolve(c, "norte", noon); !errors.Is(err, request.ErrNotFound) {
-			t.Errorf("%v: %v", r, err)
+			t.Errorf("%v: got %v, want ErrNotFound", r, err)
 		}
 	}
 }
 
-// A request that is sent again is the same job, whichever host it comes to; the
-// ids of two accounts never meet, not even where one's name ends as the other's
-// request begins.
+// A request that is sent again is the same job, whichever host receives it. Job ids
+// of two accounts never collide, even if account name and request id concatenate to
+// the same text.
 func TestJobIDIsStableAndUnique(t *testing.T) {
 	is := is.New(t)
 	is.Equal(request.JobID("norte", "r1"), request.JobID("norte", "r1"))
