--- a/internal/host/station/station.go
+++ b/internal/host/station/station.go
@@ -125,7 +125,7 @@
 	s.desk = dispatcher.New(s.store, order.NewCounted(p.Line, set.metrics), p.Roster, set.bounds, log, desk...)
 	s.exchange = exchange.New(
 		id.Peers, s.desk, s.keeper, s.store.Up, exchange.WithPower(id.Power), exchange.WithZone(id.Zone), exchange.WithLog(log),
-		exchange.WithStoreAnswered(s.store.LastSuccess),
+		exchange.WithStoreAnswered(s.store.LastAnswer),
 		exchange.WithAdopted(s.adopted), exchange.WithCounted(func() burn.Snapshot { return s.burn.Snapshot(time.Now()) }),
 	)
 	s.net = peer.New(s.exchange.Handle, set.peerTLS, nil, log)
--- a/internal/platform/store/instrumented.go
+++ b/internal/platform/store/instrumented.go
@@ -10,7 +10,7 @@
 	"guavaglade.example/guavaglade/internal/report/metrics"
 )
 
-// Instrumented passes calls on to a store, counts them by outcome and times them.
+// Instrumented wraps a store. It counts calls by outcome and records their latency.
 type Instrumented struct {
 	Store
 	calls map[string]*callMetrics
@@ -21,7 +21,7 @@
 	latency                            tally.Histogram
 }
 
-// NewInstrumented returns a store that counts in the scope.
+// NewInstrumented returns a store that reports metrics to a scope.
 func NewInstrumented(s Store, scope tally.Scope) *Instrumented {
 	c := &Instrumented{Store: s, calls: map[string]*callMetrics{}}
 	for _, call := range []string{"commit", "read", "changes"} {
@@ -37,8 +37,8 @@
 	return c
 }
 
-func (m *callMetrics) observe(began time.Time, err error) {
-	m.latency.RecordDuration(time.Since(began))
+func (m *callMetrics) observe(start time.Time, err error) {
+	m.latency.RecordDuration(time.Since(start))
 	switch {
 	case err == nil:
 		m.ok.Inc(1)
@@ -53,24 +53,24 @@
 
 // Commit implements Store.
 func (c *Instrumented) Commit(ctx context.Context, tx Tx) (Result, error) {
-	began := time.Now()
+	start := time.Now()
 	res, err := c.Store.Commit(ctx, tx)
-	c.calls["commit"].observe(began, err)
+	c.calls["commit"].observe(start, err)
 	return res, err
 }
 
 // Read implements Store.
 func (c *Instrumented) Read(ctx context.Context, r Range) (Page, error) {
-	began := time.Now()
+	start := time.Now()
 	page, err := c.Store.Read(ctx, r)
-	c.calls["read"].observe(began, err)
+	c.calls["read"].observe(start, err)
 	return page, err
 }
 
 // Changes implements Store.
 func (c *Instrumented) Changes(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
-	began := time.Now()
+	start := time.Now()
 	page, err := c.Store.Changes(ctx, table, after, wait)
-	c.calls["changes"].observe(began, err)
+	c.calls["changes"].observe(start, err)
 	return page, err
 }
--- a/internal/platform/store/monitor.go
+++ b/internal/platform/store/monitor.go
@@ -7,100 +7,100 @@
 	"time"
 )
 
-// Figures of a gauge.
+// Parameters of a Monitor.
 const (
-	// downAfterFailures is how many calls in a row fail before the store counts as
-	// down: one may be a connection that was reset.
+	// downAfterFailures is the number of consecutive failures after which the store
+	// counts as down: a single one may be a connection that was reset.
 	downAfterFailures = 2
-	// idleProbeInterval is how long a host does without a word from the store before it
-	// asks whether it is there: a store that does not answer is found out by that
-	// question, and not by the requests of clients.
+	// idleProbeInterval is the time without an answer after which a host probes the
+	// store, so that an outage is detected by a probe and not by clients' requests.
 	idleProbeInterval = 900 * time.Millisecond
-	// downProbeInterval is the time between two such questions while the store counts as
-	// down: clients are refused for no longer.
+	// downProbeInterval is the time between probes while the store fails. It bounds how
+	// long clients are still refused after the store has recovered.
 	downProbeInterval = 250 * time.Millisecond
-	// probeTimeout bounds such a question: three times what one takes on a store that
-	// is fifty times as slow as on an ordinary day.
+	// probeTimeout is three times the latency of a probe on a store that is 50 times as
+	// slow as usual.
 	probeTimeout = 700 * time.Millisecond
-	// latencyWeight is the weight of the newest call in what calls usually take: a
-	// store that turns slow is known for it after a few calls.
+	// latencyWeight is the weight of the newest call in the moving average of latency,
+	// which follows a store that turns slow within a few calls.
 	latencyWeight = 0.3
 )
 
-// Monitor passes calls on to a store and watches how they go, so that a host
-// knows at once that the store does not serve it, and does not have each of its
-// clients wait for the same time-out.
+// Monitor wraps a store and detects outages from the outcomes of calls and from
+// probes. A host that knows of an outage can refuse requests at once, instead of
+// having each client wait for the same timeout.
 type Monitor struct {
 	Store
-	probeKey    Key // that is read to see whether the store answers
-	mu          sync.Mutex
-	failures    int           // calls that failed since one went well
-	lastSuccess time.Time     // when a call went well last
-	latency     time.Duration // what calls took lately that went well
-	wentDown    chan struct{} // holds a word that the store has just gone down
-	recovered   chan struct{} // closed when the store comes up next
-	onChange    func(up bool, err error)
+	probeKey   Key // read by probes
+	mu         sync.Mutex
+	failures   int           // consecutive failed calls
+	lastAnswer time.Time     // of the last answered call
+	latency    time.Duration // moving average over answered calls
+	wentDown   chan struct{} // holds a value when the store has just gone down
+	recovered  chan struct{} // closed at the next recovery
+	onChange   func(up bool, err error)
 }
 
-// NewMonitor returns a gauge over a store that counts as up. The key is read to see
-// whether the store answers. changed is told when it goes down or comes up; it must
-// not block.
-func NewMonitor(s Store, probe Key, changed func(up bool, err error)) *Monitor {
-	return &Monitor{Store: s, probeKey: probe, wentDown: make(chan struct{}, 1), recovered: make(chan struct{}), onChange: changed}
+// NewMonitor returns a monitor of a store, which counts as up at first. Probes read
+// probeKey. onChange is called when the store goes down or comes up; it must not
+// block.
+func NewMonitor(s Store, probeKey Key, onChange func(up bool, err error)) *Monitor {
+	return &Monitor{Store: s, probeKey: probeKey, wentDown: make(chan struct{}, 1), recovered: make(chan struct{}), onChange: onChange}
 }
 
-// Up reports whether the store serves this host, as far as is known.
-func (g *Monitor) Up() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.failures < downAfterFailures
+// Up reports whether the store counts as up for this host.
+func (m *Monitor) Up() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.failures < downAfterFailures
 }
 
-// LastSuccess returns when a call went well last.
-func (g *Monitor) LastSuccess() time.Time {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.lastSuccess
+// LastAnswer returns when the store last answered a call.
+func (m *Monitor) LastAnswer() time.Time {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.lastAnswer
 }
 
-// Recovered returns a channel that is closed when the store comes up next. A call that
-// was on its way through an outage may hang until its time-out; what waits for it does
-// well to ask anew.
-func (g *Monitor) Recovered() <-chan struct{} {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.recovered
+// Recovered returns a channel that is closed at the store's next recovery. A call that
+// was in flight during an outage may hang until its timeout; its caller can use the
+// channel to retry earlier.
+func (m *Monitor) Recovered() <-chan struct{} {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.recovered
 }
 
-// TypicalLatency returns what calls took lately that went well; 0 if there was none.
-func (g *Monitor) TypicalLatency() time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.latency
+// TypicalLatency returns the moving average of the latency of answered calls; 0 if there
+// was none. Calls of Changes are not included.
+func (m *Monitor) TypicalLatency() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.latency
 }
 
-// Run asks the store whether it is there when nothing was heard of it for a
-// while, and at once when it seems to have gone down: of a store that only loses
-// answers that is not so. It ends with the context.
-func (g *Monitor) Run(ctx context.Context) {
-	for wait := idleProbeInterval; ; wait = g.untilNextProbe() {
+// Run probes the store when no call was answered for a while, and at once when the
+// store goes down: a store that only loses the answers to writes comes up again by
+// that probe. It returns when the context ends.
+func (m *Monitor) Run(ctx context.Context) {
+	for wait := idleProbeInterval; ; wait = m.untilNextProbe() {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.wentDown:
+		case <-m.wentDown:
 		case <-time.After(wait):
 		}
-		if g.probeDue() {
-			g.probe(ctx)
+		if m.probeDue() {
+			m.probe(ctx)
 		}
 	}
 }
 
-// probe asks once, and a second time at once if that fails.
-func (g *Monitor) probe(ctx context.Context) {
+// probe reads the probe key until a read is answered, at most downAfterFailures times.
+func (m *Monitor) probe(ctx context.Context) {
 	for range downAfterFailures {
-		try, cancel := context.WithTimeout(ctx, probeTimeout)
-		_, err := Get(try, g, g.probeKey)
+		probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
+		_, err := Get(probeCtx, m, m.probeKey)
 		cancel()
 		if err == nil {
 			return
@@ -108,77 +108,77 @@
 	}
 }
 
-// probeDue reports whether the store was not heard of for long.
-func (g *Monitor) probeDue() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.failures > 0 || time.Since(g.lastSuccess) >= idleProbeInterval
+// probeDue reports whether a call has failed or none was answered for a while.
+func (m *Monitor) probeDue() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.failures > 0 || time.Since(m.lastAnswer) >= idleProbeInterval
 }
 
-// untilNextProbe returns how long to wait until the next question may be due.
-func (g *Monitor) untilNextProbe() time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.failures > 0 {
+// untilNextProbe returns how long to wait until the next probe may be due.
+func (m *Monitor) untilNextProbe() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.failures > 0 {
 		return downProbeInterval
 	}
-	return max(idleProbeInterval-time.Since(g.lastSuccess), downProbeInterval)
+	return max(idleProbeInterval-time.Since(m.lastAnswer), downProbeInterval)
 }
 
-// observe takes in how a call went. Conflicts and a lost history are answers; a
-// call that its own caller gave up on says nothing. A call that waits for changes
-// has no beginning: how long it takes is not up to the store.
-func (g *Monitor) observe(ctx context.Context, began time.Time, err error) {
+// observe records the outcome of a call. Conflicts and compacted history are answers;
+// a call that its caller cancelled is ignored. A zero start leaves the latency as it
+// is: the duration of a call that waits for changes is not the store's latency.
+func (m *Monitor) observe(ctx context.Context, start time.Time, err error) {
 	failed := errors.Is(err, ErrUnavailable) || errors.Is(err, ErrOutcomeUnknown)
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
-	g.mu.Lock()
-	wasUp := g.failures < downAfterFailures
+	m.mu.Lock()
+	wasUp := m.failures < downAfterFailures
 	if failed {
-		g.failures++
+		m.failures++
 	} else {
-		g.failures, g.lastSuccess = 0, time.Now()
-		if !began.IsZero() {
-			g.latency += time.Duration(latencyWeight * float64(time.Since(began)-g.latency))
+		m.failures, m.lastAnswer = 0, time.Now()
+		if !start.IsZero() {
+			m.latency += time.Duration(latencyWeight * float64(time.Since(start)-m.latency))
 		}
 	}
-	up := g.failures < downAfterFailures
+	up := m.failures < downAfterFailures
 	if up && !wasUp {
-		close(g.recovered)
-		g.recovered = make(chan struct{})
+		close(m.recovered)
+		m.recovered = make(chan struct{})
 	}
-	g.mu.Unlock()
+	m.mu.Unlock()
 	if wasUp && !up {
 		select {
-		case g.wentDown <- struct{}{}:
-		default: // a word is there already
+		case m.wentDown <- struct{}{}:
+		default: // already signalled
 		}
 	}
 	if up != wasUp {
-		g.onChange(up, err)
+		m.onChange(up, err)
 	}
 }
 
 // Commit implements Store.
-func (g *Monitor) Commit(ctx context.Context, tx Tx) (Result, error) {
+func (m *Monitor) Commit(ctx context.Context, tx Tx) (Result, error) {
 	start := time.Now()
-	res, err := g.Store.Commit(ctx, tx)
-	g.observe(ctx, start, err)
+	res, err := m.Store.Commit(ctx, tx)
+	m.observe(ctx, start, err)
 	return res, err
 }
 
 // Read implements Store.
-func (g *Monitor) Read(ctx context.Context, r Range) (Page, error) {
-	began := time.Now()
-	page, err := g.Store.Read(ctx, r)
-	g.observe(ctx, began, err)
+func (m *Monitor) Read(ctx context.Context, r Range) (Page, error) {
+	start := time.Now()
+	page, err := m.Store.Read(ctx, r)
+	m.observe(ctx, start, err)
 	return page, err
 }
 
 // Changes implements Store.
-func (g *Monitor) Changes(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
-	page, err := g.Store.Changes(ctx, table, after, wait)
-	g.observe(ctx, time.Time{}, err)
+func (m *Monitor) Changes(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
+	page, err := m.Store.Changes(ctx, table, after, wait)
+	m.observe(ctx, time.Time{}, err)
 	return page, err
 }
--- a/internal/platform/store/monitor_test.go
+++ b/internal/platform/store/monitor_test.go
@@ -34,7 +34,7 @@
 	return w
 }
 
-// runProbes has the gauge ask by itself until the function that it returns is called.
+// runProbes lets the monitor probe until the returned function is called.
 func (w *monitored) runProbes() (end func()) {
 	running, end := context.WithCancel(ctx)
 	go w.Run(running)
@@ -46,8 +46,8 @@
 	return err
 }
 
-// One call that fails may be a connection that was reset; two in a row are a store
-// that does not serve this host. One that goes well ends that.
+// A single failed call may be a connection that was reset; after two in a row the
+// store counts as down, until a call is answered.
 func TestMonitorDownAfterTwoFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -64,8 +64,8 @@
 	})
 }
 
-// A conflict is an answer. A call that its caller gave up on says nothing of the
-// store: a host whose clients leave would find its store down.
+// Conflicts are answers, and calls that their callers cancel are no failures:
+// otherwise clients that disconnect would make a host count its store as down.
 func TestMonitorIgnoresConflictsAndCancelledCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -88,8 +88,8 @@
 	})
 }
 
-// Nobody calls a store that has gone silent. The host asks by itself, and knows
-// within a few seconds; when the store is back, within one.
+// Without calls, a store that stops answering is detected by probes within 2.5 s, and
+// its recovery within 1 s.
 func TestMonitorProbesIdleStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -107,8 +107,8 @@
 	})
 }
 
-// A store that loses the answers to writes answers questions: it does not count as
-// down for longer than one of them takes.
+// A store that loses the answers to writes still answers probes: it does not count as
+// down for longer than one probe takes.
 func TestMonitorStaysUpWhenAnswersAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -124,7 +124,7 @@
 	})
 }
 
-// What calls usually take follows a store that turns slow within a few calls.
+// The typical latency follows a store that turns slow within a few calls.
 func TestTypicalLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/platform/store/recovered.go
+++ b/internal/platform/store/recovered.go
@@ -2,9 +2,10 @@
 
 import "context"
 
-// RunUntilRecovered runs f until it ends or the channel is closed, as Monitor.Recovered returns
-// one. It reports whether f was cut short; its error is then of no meaning. A call that
-// was on its way through an outage would hang until its time-out.
+// RunUntilRecovered runs f until it returns or the channel, which is one that
+// Monitor.Recovered returned, is closed. It reports whether f was interrupted; the error
+// is nil then. A call that was in flight during an outage would otherwise hang until its
+// timeout.
 func RunUntilRecovered(ctx context.Context, recovered <-chan struct{}, f func(ctx context.Context) error) (interrupted bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/platform/store/store.go
+++ b/internal/platform/store/store.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Errors of the store. They are wrapped with the step and the peer.
+// Errors of a Store. They are wrapped with the step and the peer.
 var (
-	// ErrConflict says that an expected version was another one; nothing was
+	// ErrConflict means that a row did not have its expected version; nothing was
 	// written.
 	ErrConflict = errors.New("version conflict")
-	// ErrUnavailable says that the store refused or was not reached before
-	// anything was sent; nothing was written.
+	// ErrUnavailable means that the store refused the call, or was not reached
+	// before anything was sent; nothing was written.
 	ErrUnavailable = errors.New("store unavailable")
-	// ErrOutcomeUnknown says that no answer came; a write may have taken effect, and
-	// may still take effect.
+	// ErrOutcomeUnknown means that no answer came; a write may have taken effect,
+	// or may still take effect later.
 	ErrOutcomeUnknown = errors.New("outcome not known")
-	// ErrCompacted says that the feed no longer has the changes asked for.
+	// ErrCompacted means that the feed no longer holds the requested changes.
 	ErrCompacted = errors.New("history not available")
 )
 
-// Bounds of one transaction.
+// Limits of one transaction.
 const (
-	MaxEntries = 100     // expected, put and removed rows together
-	MaxBytes   = 1 << 20 // of the call
+	MaxEntries = 100     // expected, put and removed rows in total
+	MaxBytes   = 1 << 20 // size of the call
 )
 
 // Key names a row.
@@ -34,18 +34,18 @@
 	Name      string
 }
 
-// Row is a row as it was read.
+// Row is a row of a range or a change of a feed.
 type Row struct {
 	Key     Key
 	Value   []byte
-	Version int64 // 0: not there
-	Removed bool  // in a feed: the change took the row out
+	Version int64 // 0: the row does not exist
+	Removed bool  // in a feed: the change removed the row
 }
 
-// Expect is a condition of a transaction.
+// Expect is a precondition of a transaction.
 type Expect struct {
 	Key     Key
-	Version int64 // that the row must have; 0: it must not be there
+	Version int64 // that the row must have; 0: it must not exist
 }
 
 // Put is a row to write.
@@ -54,49 +54,47 @@
 	Value []byte
 }
 
-// Tx is a transaction. All keys are in one part.
+// Tx is a transaction. All keys are in one partition.
 type Tx struct {
 	Expect []Expect
 	Put    []Put
 	Remove []Key
 }
 
-// Result is the answer to a transaction.
+// Result is the result of a transaction.
 type Result struct {
-	Version int64 // given to the written rows
-	Rows    []Row // on a conflict: the expected rows that are there
+	Version int64 // of the written rows
+	Rows    []Row // on a conflict: the expected rows that exist
 }
 
-// Range is what to read: names from From on and before To.
+// Range selects the rows of a partition whose names are in [From, To).
 type Range struct {
 	Table, Partition string
 	From, To         string // empty: no bound
-	Limit            int    // 0: as many as the store gives
+	Limit            int    // 0: up to the store's own limit
 }
 
-// Page is an answer about rows.
+// Page is a page of rows or of changes.
 type Page struct {
-	Rows    []Row // by name for a range, in order of change for a feed
+	Rows    []Row // of a range in order of names, of a feed in order of changes
 	More    bool  // of a range: more rows follow
-	Version int64 // newest version of the store
+	Version int64 // current version of the store
 }
 
-// Store is the platform's table of rows.
+// Store is the platform's table store.
 type Store interface {
-	// Commit makes the transaction. On ErrConflict the result has the rows as
-	// they are.
+	// Commit applies the transaction. On ErrConflict the result holds the current
+	// rows.
 	Commit(ctx context.Context, tx Tx) (Result, error)
-	// Read returns a page of rows as of one moment.
+	// Read returns a page of rows, consistent as of one version.
 	Read(ctx context.Context, r Range) (Page, error)
-	// Changes returns what changed in a table after a version, waiting at most
-	// so long for the first change. It returns ErrCompacted if that is no longer
-	// known.
+	// Changes returns the changes of a table after a version. It waits up to wait
+	// for the first one. It returns ErrCompacted if they are no longer available.
 	Changes(ctx context.Context, table string, after int64, wait time.Duration) (Page, error)
 }
 
-// ReadAll reads a range to its end. The rows are as of the moments of its pages.
-// The version is that of the first page, so a feed that goes on from it misses
-// nothing.
+// ReadAll reads all pages of a range. Each page is consistent only in itself. The
+// version is that of the first page, so a feed that continues from it misses nothing.
 func ReadAll(ctx context.Context, s Store, r Range) (Page, error) {
 	var all Page
 	for first := true; ; first = false {
@@ -115,7 +113,7 @@
 	}
 }
 
-// Get returns one row, with version 0 if it is not there.
+// Get returns one row, with version 0 if it does not exist.
 func Get(ctx context.Context, s Store, k Key) (Row, error) {
 	page, err := s.Read(ctx, Range{Table: k.Table, Partition: k.Partition, From: k.Name, To: k.Name + "\x00", Limit: 1})
 	if err != nil {
