--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Queue takes jobs of one kind. Requests find it by the name of the virtual
-// host and the longest prefix of the path.
+// Queue accepts jobs of one kind. A request is routed to it by its virtual host and
+// the longest matching prefix of its path.
 type Queue struct {
 	Name        string
 	VirtualHost string
-	Prefix      string // of the path, with a slash at its end
+	Prefix      string // of the path, with a trailing slash
 	Service     string // whose targets run the tasks
-	Public      bool   // no key is needed
-	Priority    int    // 0 comes first
+	Public      bool   // requests need no key
+	Priority    int    // 0 is the highest
 	MaxAttempts int
-	SlackFactor float64       // objective: so many times a job's longest chain of work
-	Allowance   time.Duration // and so much besides
+	SlackFactor float64       // of the objective: multiple of a job's critical path
+	Allowance   time.Duration // of the objective: added to that multiple
 	Timeout     time.Duration // of a request; 0: none
-	Advised     bool          // the advice service names the targets that may run a step
-	AdviceValid time.Duration // how long a ticket holds
+	Advised     bool          // only targets that the advice service permits may run a step
+	AdviceValid time.Duration // validity of a ticket from the advice service
 }
 
 // Account is a client account.
@@ -34,22 +34,22 @@
 // Service is a pool of targets.
 type Service struct {
 	Name            string
-	RejectsOverload bool // its targets refuse what does not fit
-	Standby         bool // its machines are off and not paid for
+	RejectsOverload bool // its targets refuse tasks that exceed their capacity
+	Standby         bool // its machines are powered off and not paid for
 	Objective       Objective
 }
 
-// Objective is a service-level objective: a share of the jobs ends well within a
+// Objective is a service-level objective: the share of jobs that complete within a
 // time.
 type Objective struct {
-	Target float64       // share of good jobs, below 1; 0: no objective
+	Target float64       // share, below 1; 0: no objective
 	Within time.Duration // from acceptance; 0: each job's own objective
 }
 
-// Limits bound requests of clients; 0 stands for none.
+// Limits bound clients' requests. 0 means no limit.
 type Limits struct {
-	MaxHeaderBytes int // bytes
-	MaxBodyBytes   int // bytes
+	MaxHeaderBytes int
+	MaxBodyBytes   int
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
 	RequestRate    float64
@@ -62,26 +62,26 @@
 	accounts []Account          //
 	services map[string]Service // by name
 	limits   Limits
-	byHost   map[string][]int  // positions in queues, by virtual host
+	byHost   map[string][]int  // indexes of queues, by lower-case virtual host
 	byKey    map[string]string // account names, by key
-	leaving  map[string]bool   // ids of targets that an operator takes out
+	draining map[string]bool   // ids of targets that an operator drains
 	// evacuated are the availability zones that an operator evacuates.
 	evacuated []string
 }
 
-// Option sets one property of a new catalog.
+// Option configures a new catalog.
 type Option func(*Catalog)
 
-// WithLeaving names the targets that an operator takes out: they get no new work.
-func WithLeaving(ids ...string) Option {
+// WithDraining sets the targets that an operator drains: they get no new tasks.
+func WithDraining(ids ...string) Option {
 	return func(c *Catalog) {
 		for _, id := range ids {
-			c.leaving[id] = true
+			c.draining[id] = true
 		}
 	}
 }
 
-// WithEvacuated names the availability zones that an operator evacuates: nothing is
+// WithEvacuated sets the availability zones that an operator evacuates: nothing is
 // started there.
 func WithEvacuated(zones ...string) Option {
 	return func(c *Catalog) { c.evacuated = append(c.evacuated, zones...) }
@@ -91,7 +91,7 @@
 func New(version int64, queues []Queue, accounts []Account, services []Service, l Limits, opts ...Option) *Catalog {
 	c := &Catalog{
 		version: version, queues: slices.Clone(queues), accounts: slices.Clone(accounts), limits: l,
-		services: map[string]Service{}, byHost: map[string][]int{}, byKey: map[string]string{}, leaving: map[string]bool{},
+		services: map[string]Service{}, byHost: map[string][]int{}, byKey: map[string]string{}, draining: map[string]bool{},
 	}
 	slices.SortStableFunc(c.queues, func(a, b Queue) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	for i, q := range c.queues {
@@ -112,7 +112,7 @@
 	return c
 }
 
-// Version returns the version, above 0.
+// Version returns the version, which is above 0.
 func (c *Catalog) Version() int64 { return c.version }
 
 // Limits returns the limits on requests.
@@ -124,8 +124,8 @@
 // Queues returns the queues. The caller must not change them.
 func (c *Catalog) Queues() []Queue { return c.queues }
 
-// Leaving reports whether an operator takes the target out.
-func (c *Catalog) Leaving(id string) bool { return c != nil && c.leaving[id] }
+// Draining reports whether an operator drains the target.
+func (c *Catalog) Draining(id string) bool { return c != nil && c.draining[id] }
 
 // Evacuated returns the availability zones that an operator evacuates. The caller must
 // not change them.
@@ -142,7 +142,8 @@
 	return s, ok
 }
 
-// Objectives returns the objectives of the services that have one, by name.
+// Objectives returns the services' objectives by the service's name. Services without
+// one are left out.
 func (c *Catalog) Objectives() map[string]Objective {
 	byName := map[string]Objective{}
 	if c == nil {
@@ -156,7 +157,7 @@
 	return byName
 }
 
-// Find returns the queue of a request, and what follows its prefix in the path.
+// Find returns the queue of a request, and the rest of the path after its prefix.
 func (c *Catalog) Find(virtualHost, path string) (q Queue, rest string, ok bool) {
 	for _, i := range c.byHost[strings.ToLower(virtualHost)] {
 		if rest, ok := strings.CutPrefix(path, c.queues[i].Prefix); ok {
--- a/internal/config/catalog/catalog_test.go
+++ b/internal/config/catalog/catalog_test.go
@@ -19,8 +19,8 @@
 	)
 }
 
-// A request goes to the queue with the longest prefix; host names are compared
-// without regard to case.
+// A request is routed to the queue with the longest matching prefix; virtual hosts are
+// compared without regard to case.
 func TestFind(t *testing.T) {
 	is := is.New(t)
 	c := sample(1)
@@ -51,12 +51,12 @@
 	is.Equal((*catalog.Catalog)(nil).Objectives(), map[string]catalog.Objective{})
 }
 
-// A configuration reaches a host from the store and from its peers, in any order
-// and more than once: what is in force never goes back to an older version, and a
-// text that cannot be read leaves it as it is.
+// A configuration reaches a host from the store and from its peers, in any order and
+// more than once. Neither an older version nor a malformed one replaces the one in
+// force.
 func TestKeeperIgnoresOlderVersions(t *testing.T) {
 	is := is.New(t)
-	errMalformed := errors.New("odd")
+	errMalformed := errors.New("malformed")
 	k := catalog.NewKeeper(func(stored []byte) (*catalog.Catalog, error) {
 		if stored[0] == 'x' {
 			return nil, errMalformed
--- a/internal/config/catalog/keeper.go
+++ b/internal/config/catalog/keeper.go
@@ -5,16 +5,16 @@
 	"sync"
 )
 
-// Decode reads the stored form of a configuration.
+// Decode decodes the stored form of a configuration.
 type Decode func(stored []byte) (*Catalog, error)
 
-// Keeper holds the configuration in force on a host, safe for several
-// goroutines. Versions only rise.
+// Keeper holds the configuration in force on a host. Its version only rises. It is
+// safe for concurrent use.
 type Keeper struct {
 	decode  Decode
 	mu      sync.RWMutex
-	current *Catalog // nil: none yet
-	stored  []byte   // as it was decoded, for peers
+	current *Catalog // nil if there is none yet
+	stored  []byte   // encoded form of current, for peers
 }
 
 // NewKeeper returns a keeper without a configuration.
@@ -42,8 +42,8 @@
 	return k.stored
 }
 
-// Offer takes a stored configuration, and reports whether it came in force: one
-// that is not newer is left, and one that cannot be read is refused.
+// Offer decodes a stored configuration and puts it in force if it is newer than the
+// current one. It reports whether it did.
 func (k *Keeper) Offer(stored []byte) (bool, error) {
 	c, err := k.decode(stored)
 	if err != nil {
--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -359,7 +359,7 @@
 	}
 	list = slices.Clone(list)
 	for i := range list {
-		list[i].Draining = list[i].Draining || o.keeper.Current().Leaving(list[i].ID)
+		list[i].Draining = list[i].Draining || o.keeper.Current().Draining(list[i].ID)
 	}
 	return list, nil
 }
--- a/internal/host/leader/election_test.go
+++ b/internal/host/leader/election_test.go
@@ -114,9 +114,9 @@
 		return ctx.Err()
 	}
 	draw := rand.New(rand.NewPCG(seed, 2)).Int64N
-	gauge := store.NewMonitor(s.link, leader.RowKey, func(up bool, _ error) { s.StoreChanged(up) })
-	s.Election = leader.New(gauge, peers, lead, name+"#1", name, logr.Discard(), leader.WithClock(time.Now), leader.WithDraw(draw), leader.WithPower(1))
-	go gauge.Run(ctx)
+	monitor := store.NewMonitor(s.link, leader.RowKey, func(up bool, _ error) { s.StoreChanged(up) })
+	s.Election = leader.New(monitor, peers, lead, name+"#1", name, logr.Discard(), leader.WithClock(time.Now), leader.WithDraw(draw), leader.WithPower(1))
+	go monitor.Run(ctx)
 	go func() {
 		s.Run(ctx)
 		close(s.over)
