--- a/internal/config/version/doc.go
+++ b/internal/config/version/doc.go
@@ -1,7 +1,7 @@
-// Package version keeps the product's own configuration text in the store, one
-// version after the other.
+// Package version keeps the product's own configuration text in the store as a
+// sequence of versions.
 //
-// A change is put with the version that it was based on and a change id. It takes
-// effect by one conditional write; versions only rise. The answer to a change may
-// be lost: putting it again with the same change id settles what became of it.
+// A change is submitted with the version that it is based on and a change id. It
+// takes effect by one conditional write; versions only rise. If the answer is lost,
+// submitting the change again with the same change id returns its outcome.
 package version
--- a/internal/config/version/version.go
+++ b/internal/config/version/version.go
@@ -12,7 +12,7 @@
 	"guavaglade.example/guavaglade/internal/platform/store"
 )
 
-// Key is where the current version stands.
+// Key is the key of the row that holds the current version.
 var Key = store.Key{Table: "configuration", Name: "current"}
 
 // Version is one version of the configuration text.
@@ -22,29 +22,28 @@
 	Text   string `json:"text"`
 }
 
-// Errors of a change.
+// Errors of Change.
 var (
-	// ErrStaleBase says that the change was based on another version than the
+	// ErrStaleBase means that the change was based on another version than the
 	// current one.
 	ErrStaleBase = errors.New("based on another version than the current one")
-	// ErrChangeIDReused says that the change id was used with another text.
+	// ErrChangeIDReused means that the change id was used with another text.
 	ErrChangeIDReused = errors.New("the change id was used with another text")
 )
 
-// Decode reads a stored version.
+// Decode decodes a stored version.
 func Decode(stored []byte) (Version, error) {
 	var v Version
 	if err := json.Unmarshal(stored, &v); err != nil {
 		return Version{}, fmt.Errorf("configuration version: %w", err)
 	}
 	if v.Number < 1 {
-		return Version{}, fmt.Errorf("configuration version: number %d", v.Number)
+		return Version{}, fmt.Errorf("configuration version: number %d is below 1", v.Number)
 	}
 	return v, nil
 }
 
-// DecodeCatalog reads a stored version as the configuration in force, as
-// catalog.Decode.
+// DecodeCatalog decodes a stored version into a catalog. It is a catalog.Decode.
 func DecodeCatalog(stored []byte) (*catalog.Catalog, error) {
 	v, err := Decode(stored)
 	if err != nil {
@@ -57,17 +56,18 @@
 	return BuildCatalog(v.Number, c), nil
 }
 
-// Attempts and waits of jobs that the text describes.
+// Defaults of jobs that the text describes.
 const (
-	// defaultMaxAttempts is how often a repeatable job's task may fail.
+	// defaultMaxAttempts is the number of failures after which a repeatable job fails.
 	defaultMaxAttempts = 3
-	// defaultSlackFactor and allowance make the objective of a job whose service has none.
+	// defaultSlackFactor and defaultAllowance set the objective of a job whose service
+	// has none.
 	defaultSlackFactor = 3
 	defaultAllowance   = 10 * time.Second
 )
 
-// BuildCatalog returns the queues, accounts and services of a text: each job that it
-// describes is a queue of its own.
+// BuildCatalog returns the catalog of a text. Each kind of job becomes a queue of its
+// own.
 func BuildCatalog(number int64, c *text.Config) *catalog.Catalog {
 	var queues []catalog.Queue
 	var services []catalog.Service
@@ -86,8 +86,7 @@
 	return catalog.New(number, queues, accounts, services, catalog.Limits{}, catalog.WithDraining(c.LeavingTargets()...), catalog.WithEvacuated(c.Evacuated()...))
 }
 
-// Priorities of jobs: urgent ones and those under a guarantee may have room
-// cleared for them.
+// Priorities of jobs. Urgent and guaranteed jobs may preempt the other two.
 const (
 	priorityUrgent = 0
 	priorityNormal = 1
@@ -116,8 +115,8 @@
 	return q
 }
 
-// Change puts a text as the version after base. It returns the version that is
-// current then. The error wraps ErrBase, ErrOtherText, store.ErrUnavailable or
+// Change stores a text as the version after base and returns the version that is
+// current then. The error wraps ErrStaleBase, ErrChangeIDReused, store.ErrUnavailable or
 // store.ErrOutcomeUnknown.
 func Change(ctx context.Context, s store.Store, base int64, change, body string) (Version, error) {
 	row, err := store.Get(ctx, s, Key)
@@ -132,7 +131,7 @@
 	}
 	switch {
 	case current.Change == change && current.Text == body:
-		return current, nil // an earlier try whose answer was lost
+		return current, nil // an earlier attempt whose answer was lost
 	case current.Change == change:
 		return current, fmt.Errorf("change %s: %w", change, ErrChangeIDReused)
 	case current.Number != base:
@@ -145,7 +144,7 @@
 	}
 	_, err = s.Commit(ctx, store.Tx{Expect: []store.Expect{{Key: Key, Version: row.Version}}, Put: []store.Put{{Key: Key, Value: value}}})
 	if errors.Is(err, store.ErrConflict) {
-		return Change(ctx, s, base, change, body) // somebody else was faster: say with what
+		return Change(ctx, s, base, change, body) // a concurrent change won: return that version
 	}
 	if err != nil {
 		return Version{}, fmt.Errorf("change %s: %w", change, err)
--- a/internal/config/version/version_test.go
+++ b/internal/config/version/version_test.go
@@ -48,16 +48,15 @@
 	c, err := version.DecodeCatalog([]byte(`{"number":4,"change":"a","text":"[service refill]\n"}`))
 	is.NoErr(err)
 	is.Equal(c.Version(), int64(4))
-	for _, odd := range []string{``, `[]`, `{"number":0}`, `{"number":1,"text":"[nonsense"}`} {
-		if _, err := version.DecodeCatalog([]byte(odd)); err == nil {
-			t.Errorf("%q was taken", odd)
+	for _, malformed := range []string{``, `[]`, `{"number":0}`, `{"number":1,"text":"[nonsense"}`} {
+		if _, err := version.DecodeCatalog([]byte(malformed)); err == nil {
+			t.Errorf("%q: want an error", malformed)
 		}
 	}
 }
 
-// Two operators change the text at once, both from the version that they see. One
-// is told that another was faster, and with which version; nothing is lost or
-// mixed.
+// Two operators change the text concurrently, based on the same version. Exactly one
+// change takes effect; the other fails with ErrStaleBase.
 func TestConcurrentChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -79,8 +78,8 @@
 	})
 }
 
-// The answer to a change was lost, and the operator puts it again with the same
-// change id: it is the same version. With another text it is refused.
+// The answer to a change was lost, and the operator submits it again with the same
+// change id: the same version is returned. With another text it fails.
 func TestChangeIsIdempotent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -101,8 +100,8 @@
 	})
 }
 
-// Each job that the text describes is a queue, and what an account is guaranteed in
-// all zones is added up.
+// Each kind of job in the text becomes a queue, and an account's guarantees are summed
+// over all zones.
 func TestBuildCatalog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
