--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -24,18 +24,18 @@
 
 // Figures of the shell.
 const (
-	tickEvery  = 100 * time.Millisecond // the finest bound that decisions keep is a retry after 200 ms
-	adviceTime = 5 * time.Second        // bounds a call for advice, which takes its time for each target that it names
-	startSpare = 200 * time.Millisecond // what a start takes to arrive, of the time in which a draining target may get work
-	scanEvery  = time.Second            // for jobs whose message was lost
-	storeTime  = 2 * time.Second        // bounds a call to the store
-	storePause = 150 * time.Millisecond // between two tries
-	holdExtra  = 600 * time.Millisecond // bounds a report beyond the time that it waits
-	backlog    = 4096                   // events that wait for the loop
-	// leastListing and listFactor: how long a list of targets is waited for at least, and
+	tickInterval    = 100 * time.Millisecond // the finest bound that decisions keep is a retry after 200 ms
+	adviceTimeout   = 5 * time.Second        // bounds a call for advice, which takes its time for each target that it names
+	startMargin     = 200 * time.Millisecond // what a start takes to arrive, of the time in which a draining target may get work
+	scanInterval    = time.Second            // for jobs whose message was lost
+	storeTimeout    = 2 * time.Second        // bounds a call to the store
+	storeRetryDelay = 150 * time.Millisecond // between two tries
+	minReportMargin = 600 * time.Millisecond // bounds a report beyond the time that it waits
+	maxQueuedEvents = 4096                   // events that wait for the loop
+	// minListTimeout and listFactor: how long a list of targets is waited for at least, and
 	// as a multiple of what the last one took.
-	leastListing = 500 * time.Millisecond
-	listFactor   = 4
+	minListTimeout    = 500 * time.Millisecond
+	listTimeoutFactor = 4
 )
 
 // Roster lists the targets that are registered.
@@ -63,7 +63,7 @@
 	regained func() <-chan struct{}
 	log      logr.Logger
 	mu       sync.Mutex
-	now      *office // nil while another host leads
+	serving  *leadership // nil while another host leads
 }
 
 // Option sets one property of a new dispatcher.
@@ -101,44 +101,44 @@
 
 // New returns a dispatcher that does not lead yet.
 func New(s store.Store, l order.Line, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
-	b.Parts, b.ListAge = Parts, max(b.DrainTime-startSpare, 3*b.DrainTime/4)
+	b.Parts, b.ListAge = Parts, max(b.DrainTime-startMargin, 3*b.DrainTime/4)
 	d := &Dispatcher{store: s, line: l, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, settled: func(dispatch.Settled) {}, regained: func() <-chan struct{} { return nil }, log: log}
 	for _, o := range opts {
 		o(d)
 	}
 	if d.evacuations != nil && b.EvacuateTime > 0 {
-		d.bounds.EvacuationAge = max(b.EvacuateTime-startSpare, 3*b.EvacuateTime/4)
+		d.bounds.EvacuationAge = max(b.EvacuateTime-startMargin, 3*b.EvacuateTime/4)
 	}
 	return d
 }
 
-// office is one term while it lasts.
-type office struct {
+// leadership is one term while it lasts.
+type leadership struct {
 	*Dispatcher
-	ctx        context.Context
-	term       *leader.Term
-	machine    *dispatch.Machine
-	stories    *stories // what the machine decided
-	gate       *limiter.Gate
-	work       chan func(now time.Time)
-	fences     [Parts]int64
-	configured int64         // version of the configuration that the machine was told
-	scanned    int64         // version up to which the jobs table was scanned
-	listing    time.Duration // how long the next list of targets is waited for
-	// toldWaiting is when a line last told that orders wait.
-	toldWaiting time.Time
-	wg          sync.WaitGroup
+	ctx            context.Context
+	term           *leader.Term
+	machine        *dispatch.Machine
+	histories      *histories // what the machine decided
+	gate           *limiter.Gate
+	events         chan func(now time.Time)
+	fences         [Parts]int64
+	configVersion  int64         // version of the configuration that the machine was told
+	scannedVersion int64         // version up to which the jobs table was scanned
+	listTimeout    time.Duration // how long the next list of targets is waited for
+	// waitingLoggedAt is when a line last told that orders wait.
+	waitingLoggedAt time.Time
+	wg              sync.WaitGroup
 }
 
 // Lead carries out a term until the context ends or a newer term is found.
 func (d *Dispatcher) Lead(ctx context.Context, t *leader.Term, clean bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	o := &office{
-		Dispatcher: d, ctx: ctx, term: t, work: make(chan func(time.Time), backlog), stories: newStories(d.log),
+	o := &leadership{
+		Dispatcher: d, ctx: ctx, term: t, events: make(chan func(time.Time), maxQueuedEvents), histories: newHistories(d.log),
 		gate: limiter.NewGate(time.Now),
 	}
-	o.machine = dispatch.New(t.Number(), d.bounds, dispatch.WithLog(o.stories))
+	o.machine = dispatch.New(t.Number(), d.bounds, dispatch.WithLog(o.histories))
 	began := o.clock()
 	if err := o.restore(); err != nil {
 		return fmt.Errorf("term %d: %w", t.Number(), err)
@@ -150,28 +150,28 @@
 	d.log.Info("restored", "term", t.Number(), "jobs", o.machine.Counts().Jobs, "tookMS", o.clock().Sub(began).Milliseconds())
 	err := o.run(heirEnd)
 	cancel()
-	d.set(nil)
+	d.setServing(nil)
 	o.wg.Wait()
 	return err
 }
 
-func (d *Dispatcher) set(o *office) {
+func (d *Dispatcher) setServing(o *leadership) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.now = o
+	d.serving = o
 }
 
-func (d *Dispatcher) office() *office {
+func (d *Dispatcher) current() *leadership {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.now
+	return d.serving
 }
 
 // restore fences all parts and reads their rows.
-func (o *office) restore() error {
+func (l *leadership) restore() error {
 	type result struct {
 		part    int
-		jobs    []accepted
+		jobs    []storedJob
 		fence   int64
 		version int64
 		err     error
@@ -180,52 +180,52 @@
 	for p := range Parts {
 		go func() {
 			r := result{part: p}
-			if r.fence, r.err = fence(o.ctx, o.store, p, o.term.Number()); r.err == nil {
-				r.jobs, r.version, r.err = o.readUntil(p)
+			if r.fence, r.err = writeFence(l.ctx, l.store, p, l.term.Number()); r.err == nil {
+				r.jobs, r.version, r.err = l.readPartUntilAnswered(p)
 			}
 			results <- r
 		}()
 	}
-	now := o.clock()
-	o.machine.SetWall(o.clock.WallOffset())
+	now := l.clock()
+	l.machine.SetWall(l.clock.WallOffset())
 	for i := range Parts {
 		r := <-results
 		if r.err != nil {
 			return r.err
 		}
-		o.fences[r.part] = r.fence
-		if i == 0 || r.version < o.scanned {
-			o.scanned = r.version
+		l.fences[r.part] = r.fence
+		if i == 0 || r.version < l.scannedVersion {
+			l.scannedVersion = r.version
 		}
 		for _, a := range r.jobs {
-			o.machine.Restore(a.spec, a.progress, a.version, a.cancelled, now)
+			l.machine.Restore(a.spec, a.progress, a.version, a.cancelled, now)
 		}
 	}
 	return nil
 }
 
-// readUntil reads a part, again and again until the store answers.
-func (o *office) readUntil(part int) ([]accepted, int64, error) {
+// readPartUntilAnswered reads a part, again and again until the store answers.
+func (l *leadership) readPartUntilAnswered(part int) ([]storedJob, int64, error) {
 	for {
-		ctx, cancel := context.WithTimeout(o.ctx, storeTime)
-		jobs, version, err := readPart(ctx, o.store, part, o.odd)
+		ctx, cancel := context.WithTimeout(l.ctx, storeTimeout)
+		jobs, version, err := readPart(ctx, l.store, part, l.logMalformed)
 		cancel()
 		if err == nil {
 			return jobs, version, nil
 		}
-		if o.ctx.Err() != nil {
+		if l.ctx.Err() != nil {
 			return nil, 0, err
 		}
-		o.log.Info("rows not read", "part", part, "error", err.Error())
-		pause(o.ctx, storePause)
+		l.log.Info("rows not read", "part", part, "error", err.Error())
+		sleep(l.ctx, storeRetryDelay)
 	}
 }
 
-func (o *office) odd(r store.Row, err error) {
-	o.log.Info("row ignored", "table", r.Key.Table, "part", r.Key.Part, "name", r.Key.Name, "version", r.Version, "error", fmt.Sprint(err))
+func (l *leadership) logMalformed(r store.Row, err error) {
+	l.log.Info("row ignored", "table", r.Key.Table, "part", r.Key.Part, "name", r.Key.Name, "version", r.Version, "error", fmt.Sprint(err))
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -233,99 +233,99 @@
 }
 
 // run is the loop that owns the machine.
-func (o *office) run(heirEnd time.Time) error {
-	listed, err := o.firstList()
+func (l *leadership) run(predecessorEnd time.Time) error {
+	listed, err := l.awaitTargets()
 	if err != nil {
 		return err
 	}
-	o.listing = listPatience(o.clock().Sub(listed))
-	o.configure()
-	o.set(o)
-	o.every(o.bounds.DrainTime/2, listed, o.list) // the list is most of what an idle leader reads
-	o.every(scanEvery, o.clock(), o.scan)
-	o.machine.Begin(heirEnd, o.clock())
-	tick := time.NewTicker(tickEvery)
+	l.listTimeout = nextListTimeout(l.clock().Sub(listed))
+	l.applyConfig()
+	l.setServing(l)
+	l.runEvery(l.bounds.DrainTime/2, listed, l.refreshTargets) // the list is most of what an idle leader reads
+	l.runEvery(scanInterval, l.clock(), l.scan)
+	l.machine.Begin(predecessorEnd, l.clock())
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
-		now := o.clock()
-		if o.evacuations != nil {
-			o.machine.SetEvacuated(o.evacuations(), now)
+		now := l.clock()
+		if l.evacuations != nil {
+			l.machine.SetEvacuated(l.evacuations(), now)
 		}
-		o.machine.SetAhead(o.gate.Ahead())
-		o.machine.SetOrderTime(o.gate.Spent())
-		for _, c := range o.machine.Decide(now) {
-			o.carryOut(c, now)
+		l.machine.SetAhead(l.gate.Ahead())
+		l.machine.SetOrderTime(l.gate.Spent())
+		for _, c := range l.machine.Decide(now) {
+			l.execute(c, now)
 		}
-		if o.machine.Deposed() {
+		if l.machine.Deposed() {
 			return errNewerTerm
 		}
 		var due <-chan time.Time
-		if at, more := o.machine.Due(now); more {
+		if at, more := l.machine.Due(now); more {
 			due = time.After(max(at.Sub(now), 0))
 		}
 		select {
-		case <-o.ctx.Done():
-			return o.ctx.Err()
-		case f := <-o.work:
-			f(o.clock())
+		case <-l.ctx.Done():
+			return l.ctx.Err()
+		case f := <-l.events:
+			f(l.clock())
 		case <-due:
 		case <-tick.C:
-			o.configure()
-			o.machine.SetWall(o.clock.WallOffset())
-			o.machine.Tick(o.clock())
-			o.count()
+			l.applyConfig()
+			l.machine.SetWall(l.clock.WallOffset())
+			l.machine.Tick(l.clock())
+			l.updateMetrics()
 		}
-		o.drain()
+		l.drainEvents()
 	}
 }
 
-// count shows what the machine holds.
-func (o *office) count() {
-	c := o.machine.Counts()
-	sure, usable := o.machine.Guarantees()
+// updateMetrics shows what the machine holds.
+func (l *leadership) updateMetrics() {
+	c := l.machine.Counts()
+	sure, usable := l.machine.Guarantees()
 	for name, n := range map[string]int{
 		"jobs": c.Jobs, "targets": c.Targets, "targets_held": c.Held, "runs": c.Runs, "steps_waiting": c.Open,
 		"zones_evacuated": c.Evacuated, "accelerators_usable": usable, "accelerators_guaranteed": sure,
 	} {
-		o.metrics.Gauge(name).Update(float64(n))
+		l.metrics.Gauge(name).Update(float64(n))
 	}
-	o.metrics.Gauge("term").Update(float64(o.term.Number()))
-	l := o.gate.Load()
-	if now := o.clock(); l.Waiting > 0 && now.Sub(o.toldWaiting) >= time.Second {
-		o.toldWaiting = now
-		o.log.Info("orders wait", "waiting", l.Waiting, "oldestMS", l.Oldest.Milliseconds(), "limit", l.Limit, "perSecond", int(l.Rate), "delayMS", l.Delay.Milliseconds(), "stepsWaiting", c.Open)
+	l.metrics.Gauge("term").Update(float64(l.term.Number()))
+	load := l.gate.Load()
+	if now := l.clock(); load.Waiting > 0 && now.Sub(l.waitingLoggedAt) >= time.Second {
+		l.waitingLoggedAt = now
+		l.log.Info("orders wait", "waiting", load.Waiting, "oldestMS", load.Oldest.Milliseconds(), "limit", load.Limit, "perSecond", int(load.Rate), "delayMS", load.Delay.Milliseconds(), "stepsWaiting", c.Open)
 	}
-	o.metrics.Gauge("orders_limit").Update(float64(l.Limit))
-	o.metrics.Gauge("orders_waiting").Update(float64(l.Waiting))
-	o.metrics.Gauge("orders_rate").Update(l.Rate)
-	o.metrics.Gauge("order_wait_seconds").Update(l.Oldest.Seconds())
-	o.metrics.Gauge("order_delay_seconds").Update(l.Delay.Seconds())
+	l.metrics.Gauge("orders_limit").Update(float64(load.Limit))
+	l.metrics.Gauge("orders_waiting").Update(float64(load.Waiting))
+	l.metrics.Gauge("orders_rate").Update(load.Rate)
+	l.metrics.Gauge("order_wait_seconds").Update(load.Oldest.Seconds())
+	l.metrics.Gauge("order_delay_seconds").Update(load.Delay.Seconds())
 }
 
-// configure tells the machine of a newer configuration.
-func (o *office) configure() {
-	if o.keeper == nil {
+// applyConfig tells the machine of a newer configuration.
+func (l *leadership) applyConfig() {
+	if l.keeper == nil {
 		return
 	}
-	now := o.keeper.Now()
-	if now == nil || now.Version() == o.configured {
+	now := l.keeper.Now()
+	if now == nil || now.Version() == l.configVersion {
 		return
 	}
-	o.configured = now.Version()
+	l.configVersion = now.Version()
 	sure := map[string]int{}
 	for _, a := range now.Accounts() {
 		sure[a.Name] = a.Guaranteed
 	}
-	o.machine.SetGuarantees(sure)
-	o.log.Info("decides by configuration", "version", now.Version(), "accounts", len(sure))
+	l.machine.SetGuarantees(sure)
+	l.log.Info("decides by configuration", "version", now.Version(), "accounts", len(sure))
 }
 
-// drain takes in all events that wait, so that one decision covers them.
-func (o *office) drain() {
-	now := o.clock()
-	for range backlog {
+// drainEvents takes in all events that wait, so that one decision covers them.
+func (l *leadership) drainEvents() {
+	now := l.clock()
+	for range maxQueuedEvents {
 		select {
-		case f := <-o.work:
+		case f := <-l.events:
 			f(now)
 		default:
 			return
@@ -333,100 +333,100 @@
 	}
 }
 
-// firstList waits for the list of targets, and returns when it was asked for.
-func (o *office) firstList() (time.Time, error) {
+// awaitTargets waits for the list of targets, and returns when it was asked for.
+func (l *leadership) awaitTargets() (time.Time, error) {
 	for {
-		asOf := o.clock()
-		list, err := o.targets(o.ctx, storeTime)
+		asOf := l.clock()
+		list, err := l.readTargets(l.ctx, storeTimeout)
 		if err == nil {
-			o.machine.Listed(list, asOf, o.clock())
+			l.machine.Listed(list, asOf, l.clock())
 			return asOf, nil
 		}
-		if o.ctx.Err() != nil {
+		if l.ctx.Err() != nil {
 			return asOf, err
 		}
-		o.log.Info("targets not listed", "error", err.Error())
-		pause(o.ctx, storePause)
+		l.log.Info("targets not listed", "error", err.Error())
+		sleep(l.ctx, storeRetryDelay)
 	}
 }
 
-func (o *office) targets(ctx context.Context, patience time.Duration) ([]roster.Target, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func (l *leadership) readTargets(ctx context.Context, timeout time.Duration) ([]roster.Target, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	list, err := o.roster.Targets(ctx)
-	if err != nil || o.keeper == nil {
+	list, err := l.roster.Targets(ctx)
+	if err != nil || l.keeper == nil {
 		return list, err
 	}
 	list = slices.Clone(list)
 	for i := range list {
-		list[i].Draining = list[i].Draining || o.keeper.Now().Leaving(list[i].ID)
+		list[i].Draining = list[i].Draining || l.keeper.Now().Leaving(list[i].ID)
 	}
 	return list, nil
 }
 
-// every runs f again and again, each time d after it began last, or at once if it
+// runEvery runs f again and again, each time d after it began last, or at once if it
 // took longer. It began last at the time given. When the store is regained, f is cut
 // short and runs anew: by then its call may be lost, and much waits for it. One that
 // failed runs again after a pause.
-func (o *office) every(d time.Duration, last time.Time, f func(ctx context.Context) error) {
+func (l *leadership) runEvery(d time.Duration, last time.Time, f func(ctx context.Context) error) {
 	next := last.Add(d)
-	o.spawn(func() {
-		for o.ctx.Err() == nil {
+	l.spawn(func() {
+		for l.ctx.Err() == nil {
 			select {
-			case <-o.ctx.Done():
+			case <-l.ctx.Done():
 				return
-			case <-o.regained():
-			case <-time.After(max(next.Sub(o.clock()), 0)):
+			case <-l.regained():
+			case <-time.After(max(next.Sub(l.clock()), 0)):
 			}
-			next = o.clock().Add(d)
-			cut, err := store.UntilRegained(o.ctx, o.regained(), f)
+			next = l.clock().Add(d)
+			cut, err := store.UntilRegained(l.ctx, l.regained(), f)
 			switch {
 			case cut:
-				next = o.clock()
+				next = l.clock()
 			case err != nil:
-				next = o.clock().Add(storePause)
+				next = l.clock().Add(storeRetryDelay)
 			}
 		}
 	})
 }
 
-func (o *office) spawn(f func()) {
-	o.wg.Add(1)
+func (l *leadership) spawn(f func()) {
+	l.wg.Add(1)
 	go func() {
-		defer o.wg.Done()
+		defer l.wg.Done()
 		f()
 	}()
 }
 
-// order runs f, which talks to a target, beside the loop. The end of the term does
+// spawnDetached runs f, which talks to a target, beside the loop. The end of the term does
 // not wait for it: it sends nothing more by then, and a call to a target that does not
 // answer would hold up the next leader.
-func (o *office) order(f func()) { go f() }
+func (l *leadership) spawnDetached(f func()) { go f() }
 
 // post gives the loop an event, unless the term ends first.
-func (o *office) post(f func(now time.Time)) {
+func (l *leadership) post(f func(now time.Time)) {
 	select {
-	case o.work <- f:
-	case <-o.ctx.Done():
+	case l.events <- f:
+	case <-l.ctx.Done():
 	}
 }
 
-// list reads the list of targets.
-func (o *office) list(ctx context.Context) error {
-	asOf := o.clock()
-	list, err := o.targets(ctx, o.listing)
+// refreshTargets reads the refreshTargets of targets.
+func (l *leadership) refreshTargets(ctx context.Context) error {
+	asOf := l.clock()
+	list, err := l.readTargets(ctx, l.listTimeout)
 	if err != nil {
-		o.listing = min(2*o.listing, storeTime)
-		o.log.V(1).Info("targets not listed", "error", err.Error())
+		l.listTimeout = min(2*l.listTimeout, storeTimeout)
+		l.log.V(1).Info("targets not listed", "error", err.Error())
 		return err
 	}
-	o.listing = listPatience(o.clock().Sub(asOf))
-	o.post(func(now time.Time) { o.machine.Listed(list, asOf, now) })
+	l.listTimeout = nextListTimeout(l.clock().Sub(asOf))
+	l.post(func(now time.Time) { l.machine.Listed(list, asOf, now) })
 	return nil
 }
 
-// listPatience returns how long the next list is waited for if one took so long: an
+// nextListTimeout returns how long the next list is waited for if one took so long: an
 // answer that was lost must not hold placing up until the usual time-out.
-func listPatience(took time.Duration) time.Duration {
-	return min(max(leastListing, listFactor*took), storeTime)
+func nextListTimeout(took time.Duration) time.Duration {
+	return min(max(minListTimeout, listTimeoutFactor*took), storeTimeout)
 }
--- a/internal/host/dispatcher/guards_test.go
+++ b/internal/host/dispatcher/guards_test.go
@@ -46,9 +46,9 @@
 }
 
 // desk returns an office whose term was taken at the time given, at a time now.
-func desk(table store.Store, line order.Line, taken, now time.Time) *office {
+func desk(table store.Store, line order.Line, taken, now time.Time) *leadership {
 	d := New(table, line, nil, dispatch.DefaultBounds(), logr.Discard(), WithClock(func() time.Time { return now }))
-	return &office{Dispatcher: d, gate: limiter.NewGate(time.Now), ctx: context.Background(), term: leader.NewTerm(7, taken), work: make(chan func(time.Time), 100)}
+	return &leadership{Dispatcher: d, gate: limiter.NewGate(time.Now), ctx: context.Background(), term: leader.NewTerm(7, taken), events: make(chan func(time.Time), 100)}
 }
 
 // A leader decides, and its process stands still before the order is sent. Another
@@ -65,14 +65,14 @@
 		o := desk(rows.New(0), line, taken, taken.Add(c.after))
 		o.start(dispatch.Start{})
 		o.stop(dispatch.Stop{})
-		o.hold(dispatch.Hold{})
+		o.poll(dispatch.Hold{})
 		o.pace(dispatch.Pace{})
 		is.Equal(*line, sends{c.sent, c.sent, c.sent, c.sent})
 	}
 }
 
 // fenced returns a table with a fence row, and an office that knows its version.
-func fenced() (*rows.Table, *office, dispatch.Save) {
+func fenced() (*rows.Table, *leadership, dispatch.Save) {
 	table := rows.New(0)
 	o := desk(table, &sends{}, time.Unix(1000, 0), time.Unix(1000, 0))
 	c := dispatch.Save{Part: partOf(), Rows: []dispatch.SaveRow{{Job: someJob, Value: []byte("{}"), Completes: true}}}
@@ -126,7 +126,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		o := desk(rows.New(0), &slowReports{}, time.Now(), time.Now())
-		_, err := o.report(dispatch.Hold{})
+		_, err := o.requestReport(dispatch.Hold{})
 		is.NoErr(err)
 	})
 }
--- a/internal/host/dispatcher/stories.go
+++ b/internal/host/dispatcher/history.go
@@ -15,33 +15,33 @@
 // Bounds of what is kept of decisions: some kilobytes for each of the jobs of a
 // few minutes.
 const (
-	storyLines = 60
-	storyJobs  = 2000
+	maxLinesPerJob = 60
+	maxJobs        = 2000
 )
 
-// stories logs what a machine decides, and keeps the newest lines about each job,
+// histories logs what a machine decides, and keeps the newest lines about each job,
 // so that its story can be told. It is safe for several goroutines.
-type stories struct {
-	log   logr.Logger
-	mu    sync.Mutex
-	byJob map[graph.JobID][]told
-	order []graph.JobID // in which the jobs came
+type histories struct {
+	log      logr.Logger
+	mu       sync.Mutex
+	byJob    map[graph.JobID][]decision
+	jobOrder []graph.JobID // in which the jobs came
 }
 
-// told is a decision as it was told. It is put into words only when somebody asks:
+// decision is a decision as it was decision. It is put into words only when somebody asks:
 // few stories are ever read.
-type told struct {
+type decision struct {
 	at   time.Time
 	what string
 	with []any // keys and values in turn, that nobody changes
 }
 
-func newStories(log logr.Logger) *stories {
-	return &stories{log: log, byJob: map[graph.JobID][]told{}}
+func newHistories(log logr.Logger) *histories {
+	return &histories{log: log, byJob: map[graph.JobID][]decision{}}
 }
 
 // Decided implements dispatch.Log.
-func (s *stories) Decided(what string, kv ...any) {
+func (s *histories) Decided(what string, kv ...any) {
 	s.log.Info(what, kv...)
 	id, ok := jobOf(kv)
 	if !ok {
@@ -51,21 +51,21 @@
 	defer s.mu.Unlock()
 	lines, known := s.byJob[id]
 	if !known {
-		s.makeRoom()
-		s.order = append(s.order, id)
+		s.evictOldest()
+		s.jobOrder = append(s.jobOrder, id)
 	}
-	if len(lines) == storyLines { // the first lines say how it came in: the second half goes on
-		lines = append(lines[:storyLines/2], lines[storyLines/2+1:]...)
+	if len(lines) == maxLinesPerJob { // the first lines say how it came in: the second half goes on
+		lines = append(lines[:maxLinesPerJob/2], lines[maxLinesPerJob/2+1:]...)
 	}
-	s.byJob[id] = append(lines, told{at: time.Now(), what: what, with: kv})
+	s.byJob[id] = append(lines, decision{at: time.Now(), what: what, with: kv})
 }
 
-func (s *stories) makeRoom() {
-	if len(s.order) < storyJobs {
+func (s *histories) evictOldest() {
+	if len(s.jobOrder) < maxJobs {
 		return
 	}
-	delete(s.byJob, s.order[0])
-	s.order = s.order[1:]
+	delete(s.byJob, s.jobOrder[0])
+	s.jobOrder = s.jobOrder[1:]
 }
 
 // jobOf finds the job that a decision is about.
@@ -83,8 +83,8 @@
 	return "", false
 }
 
-// join writes keys and values as a log line does.
-func join(kv []any) string {
+// formatPairs writes keys and values as a log line does.
+func formatPairs(kv []any) string {
 	var b strings.Builder
 	for i := 0; i+1 < len(kv); i += 2 {
 		if i > 0 {
@@ -96,12 +96,12 @@
 }
 
 // of returns the lines about a job.
-func (s *stories) of(id graph.JobID) []view.Line {
+func (s *histories) of(id graph.JobID) []view.Line {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lines := make([]view.Line, 0, len(s.byJob[id]))
 	for _, l := range s.byJob[id] {
-		lines = append(lines, view.Line{At: l.at.UTC(), What: l.what, With: join(l.with)})
+		lines = append(lines, view.Line{At: l.at.UTC(), What: l.what, With: formatPairs(l.with)})
 	}
 	return lines
 }
--- a/internal/host/dispatcher/listing_test.go
+++ b/internal/host/dispatcher/listing_test.go
@@ -23,7 +23,7 @@
 
 func (r *slowRoster) Targets(ctx context.Context) ([]roster.Target, error) {
 	r.asked = append(r.asked, time.Now())
-	pause(ctx, r.takes)
+	sleep(ctx, r.takes)
 	return nil, ctx.Err()
 }
 
--- a/internal/host/dispatcher/rows.go
+++ b/internal/host/dispatcher/rows.go
@@ -71,24 +71,24 @@
 // errNewerTerm says that a part's fence names a newer term.
 var errNewerTerm = errors.New("a newer term has begun")
 
-// fence writes the term into a part's fence and returns the row's version, which
+// writeFence writes the term into a part's writeFence and returns the row's version, which
 // every write of progress expects from then on. It goes on until it succeeds, a
 // newer term is found there or the context ends.
-func fence(ctx context.Context, s store.Store, part int, term int64) (int64, error) {
+func writeFence(ctx context.Context, s store.Store, part int, term int64) (int64, error) {
 	for {
-		version, err := fenceOnce(ctx, s, part, term)
+		version, err := tryWriteFence(ctx, s, part, term)
 		if err == nil || errors.Is(err, errNewerTerm) {
 			return version, err
 		}
 		if ctx.Err() != nil {
 			return 0, fmt.Errorf("fence part %d: %w", part, err)
 		}
-		pause(ctx, storePause)
+		sleep(ctx, storeRetryDelay)
 	}
 }
 
-func fenceOnce(ctx context.Context, s store.Store, part int, term int64) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, storeTime)
+func tryWriteFence(ctx context.Context, s store.Store, part int, term int64) (int64, error) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	row, err := store.Get(ctx, s, fenceKey(part))
 	if err != nil {
@@ -111,8 +111,8 @@
 	return res.Version, err
 }
 
-// accepted is a job with what the store has of it.
-type accepted struct {
+// storedJob is a job with what the store has of it.
+type storedJob struct {
 	spec      *graph.Job
 	progress  *progress.Job // nil for none
 	version   int64         // of the progress row
@@ -121,7 +121,7 @@
 
 // readPart reads all jobs of a part, and the version from which a feed goes on.
 // Rows that cannot be read are handed to odd and left out.
-func readPart(ctx context.Context, s store.Store, part int, odd func(store.Row, error)) ([]accepted, int64, error) {
+func readPart(ctx context.Context, s store.Store, part int, odd func(store.Row, error)) ([]storedJob, int64, error) {
 	name := strconv.Itoa(part)
 	jobs, err := store.ReadAll(ctx, s, store.Range{Table: jobsTable, Part: name})
 	if err != nil {
@@ -135,7 +135,7 @@
 	for _, r := range done.Rows {
 		byID[r.Key.Name] = r
 	}
-	var list []accepted
+	var list []storedJob
 	cancelled := map[string]bool{}
 	for _, r := range jobs.Rows {
 		if id, ok := strings.CutSuffix(r.Key.Name, cancelSuffix); ok {
@@ -151,7 +151,7 @@
 			odd(r, err)
 			continue
 		}
-		a := accepted{spec: spec, cancelled: cancelled[r.Key.Name]}
+		a := storedJob{spec: spec, cancelled: cancelled[r.Key.Name]}
 		if p, ok := byID[r.Key.Name]; ok {
 			a.version = p.Version
 			if a.progress, err = progress.Decode(p.Value); err != nil {
