--- a/internal/host/api/views.go
+++ b/internal/host/api/views.go
@@ -54,7 +54,7 @@
 		unavailable(w, err)
 	case !known:
 		v.storedStory(w, r, id, by)
-	case !by.May(s.Job.Account):
+	case !by.MayAccess(s.Job.Account):
 		notFound(w, id)
 	default:
 		reply(w, http.StatusOK, s)
--- a/internal/host/entry/entry.go
+++ b/internal/host/entry/entry.go
@@ -18,34 +18,34 @@
 
 // Why a request got no positive answer.
 var (
-	ErrNotAccepted = errors.New("not accepted, and never will be")
-	ErrNotKnown    = errors.New("not known whether it was stored; ask again with the same id")
-	ErrNoJob       = errors.New("no such job")
-	ErrNoAnswer    = errors.New("cannot be told now")
+	ErrNotAccepted    = errors.New("not accepted, and never will be")
+	ErrOutcomeUnknown = errors.New("not known whether it was stored; ask again with the same id")
+	ErrNoJob          = errors.New("no such job")
+	ErrUnavailable    = errors.New("cannot be told now")
 )
 
 // Figures of an entry.
 const (
-	// callTime bounds reading from the store, and writing to it over this host's own
+	// storeCallTimeout bounds reading from the store, and writing to it over this host's own
 	// way: a hundred times what a call takes on an ordinary day, and short enough
 	// that a peer can be asked after it.
-	callTime = 800 * time.Millisecond
-	// settleTime is how long an entry tries to learn what became of a write.
+	storeCallTimeout = 800 * time.Millisecond
+	// maxSettleTime is how long an entry tries to learn what became of a write.
 	// Then the client is told that it is not known, and asks another host.
-	settleTime = 1300 * time.Millisecond
+	maxSettleTime = 1300 * time.Millisecond
 	// settleShare is the share of a client's time that an entry spends on it at most:
 	// with the rest, the client can ask another host.
 	settleShare = 0.4
-	// slowShare is the same while the store is slow. Another host has the same store,
+	// slowSettleShare is the same while the store is slow. Another host has the same store,
 	// and each write that is made again waits in the same line as the first: a request
 	// is best left to the one call that is on its way.
-	slowShare = 0.85
-	tellTime  = time.Second // bounds telling the leader; it scans the store, too
-	retryTell = 50 * time.Millisecond
-	// readBack is how long an answer to a cancelling waits until the leader knows of
+	slowSettleShare  = 0.85
+	notifyTimeout    = time.Second // bounds telling the leader; it scans the store, too
+	notifyRetryDelay = 50 * time.Millisecond
+	// cancelNotifyWait is how long an answer to a cancelling waits until the leader knows of
 	// it, so that whoever reads the job next, at any host, finds it cancelled. It is
 	// many times a round trip between hosts; a leader that is lost costs no more.
-	readBack = 100 * time.Millisecond
+	cancelNotifyWait = 100 * time.Millisecond
 )
 
 // Leader is asked and told about jobs.
@@ -84,13 +84,13 @@
 		return err
 	}
 	slow := e.storeSlow()
-	ctx, cancel := context.WithTimeout(ctx, patience(ctx, slow))
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout(ctx, slow))
 	defer cancel()
 	err := e.SubmitHere(ctx, j)
 	if err == nil {
 		return nil
 	}
-	if slow && errors.Is(err, ErrNotKnown) {
+	if slow && errors.Is(err, ErrOutcomeUnknown) {
 		e.log.Info("job not stored", "job", j.ID, "queue", j.Queue, "account", j.Account, "storeSlow", true, "error", err.Error())
 		return err
 	}
@@ -99,30 +99,30 @@
 		e.log.Info("job stored by a peer", "job", j.ID, "queue", j.Queue, "account", j.Account, "here", err.Error())
 		return nil
 	}
-	err = either(err, other)
+	err = joinErrors(err, other)
 	e.log.Info("job not stored", "job", j.ID, "queue", j.Queue, "account", j.Account, "error", err.Error())
 	return err
 }
 
-// patience returns how long a request may take to settle, by the time that its client
+// settleTimeout returns how long a request may take to settle, by the time that its client
 // gives it and whether the store is slow.
-func patience(ctx context.Context, slow bool) time.Duration {
+func settleTimeout(ctx context.Context, slow bool) time.Duration {
 	until, limited := ctx.Deadline()
 	switch {
 	case !limited:
-		return settleTime
+		return maxSettleTime
 	case slow:
-		return time.Duration(slowShare * float64(time.Until(until)))
+		return time.Duration(slowSettleShare * float64(time.Until(until)))
 	}
-	return min(settleTime, time.Duration(settleShare*float64(time.Until(until))))
+	return min(maxSettleTime, time.Duration(settleShare*float64(time.Until(until))))
 }
 
 // storeSlow reports whether calls to the store take so long that one more does harm.
-func (e *Entry) storeSlow() bool { return e.store.Usual() >= slowStore }
+func (e *Entry) storeSlow() bool { return e.store.Usual() >= slowStoreLatency }
 
-// either joins what two hosts could not do: nothing was stored only if both say
+// joinErrors joins what two hosts could not do: nothing was stored only if both say
 // so.
-func either(here, there error) error {
+func joinErrors(here, there error) error {
 	if errors.Is(here, ErrNotAccepted) && !errors.Is(there, ErrNotAccepted) {
 		return fmt.Errorf("%w (here: %s)", there, here.Error())
 	}
@@ -136,24 +136,24 @@
 		return err
 	}
 	key := dispatcher.JobKey(partOf(j.ID), j.ID)
-	again, err := e.putNew(ctx, store.Tx{Expect: []store.Expect{{Key: key}}, Put: []store.Put{{Key: key, Value: value}}})
+	again, err := e.commitOnce(ctx, store.Tx{Expect: []store.Expect{{Key: key}}, Put: []store.Put{{Key: key, Value: value}}})
 	if err != nil {
 		return err
 	}
 	e.log.Info("job stored", "job", j.ID, "queue", j.Queue, "account", j.Account, "again", again)
 	if !again {
-		go e.tell(context.WithoutCancel(ctx), "submitted", j.ID, func(ctx context.Context) error { return e.leader.Submitted(ctx, j) })
+		go e.notifyLeader(context.WithoutCancel(ctx), "submitted", j.ID, func(ctx context.Context) error { return e.leader.Submitted(ctx, j) })
 	}
 	return nil
 }
 
-// errDown says that a call was not made since the last ones failed.
-var errDown = errors.New("the store does not serve this host now")
+// errStoreDown says that a call was not made since the last ones failed.
+var errStoreDown = errors.New("the store does not serve this host now")
 
-// tell tells the leader, again while nobody leads: in a takeover the next leader would
+// notifyLeader tells the leader, again while nobody leads: in a takeover the next leader would
 // else find the job a second later, by its scan.
-func (e *Entry) tell(ctx context.Context, what string, id graph.JobID, f func(ctx context.Context) error) {
-	ctx, cancel := context.WithTimeout(ctx, tellTime)
+func (e *Entry) notifyLeader(ctx context.Context, what string, id graph.JobID, f func(ctx context.Context) error) {
+	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	for {
 		err := f(ctx)
@@ -161,7 +161,7 @@
 			return
 		}
 		select {
-		case <-time.After(retryTell):
+		case <-time.After(notifyRetryDelay):
 		case <-ctx.Done():
 			e.log.Info("leader not told", "job", id, "step", what, "error", err.Error())
 			return
@@ -175,16 +175,16 @@
 	Operator bool   `json:"operator,omitempty"` // may see and cancel the jobs of every account
 }
 
-// May reports whether the jobs of an account are the caller's to see and cancel.
+// MayAccess reports whether the jobs of an account are the caller's to see and cancel.
 // Those of no account are everybody's.
-func (c Caller) May(account string) bool {
+func (c Caller) MayAccess(account string) bool {
 	return c.Operator || account == "" || account == c.Account
 }
 
 // Cancel stores that a job is cancelled, and tells the leader. The error wraps
 // ErrNoJob, also for a job that is not the caller's, or ErrNoAnswer.
 func (e *Entry) Cancel(ctx context.Context, id graph.JobID, by Caller) error {
-	ctx, cancel := context.WithTimeout(ctx, patience(ctx, e.storeSlow()))
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout(ctx, e.storeSlow()))
 	defer cancel()
 	err := e.CancelHere(ctx, id, by)
 	if err == nil || errors.Is(err, ErrNoJob) {
@@ -193,15 +193,15 @@
 	if other := e.relay.RelayCancel(ctx, id, by); other == nil || errors.Is(other, ErrNoJob) {
 		return other
 	}
-	return fmt.Errorf("%w: %w", ErrNoAnswer, err)
+	return fmt.Errorf("%w: %w", ErrUnavailable, err)
 }
 
 // CancelHere stores a cancelling over this host's own way to the store.
 func (e *Entry) CancelHere(ctx context.Context, id graph.JobID, by Caller) error {
 	if !e.store.Up() {
-		return fmt.Errorf("%w: %w", ErrNotAccepted, errDown)
+		return fmt.Errorf("%w: %w", ErrNotAccepted, errStoreDown)
 	}
-	row, cancelled, err := e.read(ctx, id)
+	row, cancelled, err := e.readJob(ctx, id)
 	switch {
 	case err != nil:
 		return fmt.Errorf("%w: %w", ErrNotAccepted, err)
@@ -209,33 +209,33 @@
 		return ErrNoJob
 	}
 	// A row that cannot be read belongs to nobody that could be asked.
-	if j, err := dispatcher.DecodeJob(row.Value); err == nil && !by.May(j.Account) {
+	if j, err := dispatcher.DecodeJob(row.Value); err == nil && !by.MayAccess(j.Account) {
 		return ErrNoJob
 	}
 	if cancelled {
 		return nil
 	}
 	key := dispatcher.CancelKey(partOf(id), id)
-	if _, err := e.putNew(ctx, store.Tx{Expect: []store.Expect{{Key: key}}, Put: []store.Put{{Key: key, Value: []byte("{}")}}}); err != nil {
+	if _, err := e.commitOnce(ctx, store.Tx{Expect: []store.Expect{{Key: key}}, Put: []store.Put{{Key: key, Value: []byte("{}")}}}); err != nil {
 		return err
 	}
 	e.log.Info("cancelling stored", "job", id)
 	told := make(chan struct{})
 	go func() {
 		defer close(told)
-		e.tell(context.WithoutCancel(ctx), "cancelled", id, func(ctx context.Context) error { return e.leader.Cancelled(ctx, id) })
+		e.notifyLeader(context.WithoutCancel(ctx), "cancelled", id, func(ctx context.Context) error { return e.leader.Cancelled(ctx, id) })
 	}()
 	select {
 	case <-told:
-	case <-time.After(readBack):
+	case <-time.After(cancelNotifyWait):
 	}
 	return nil
 }
 
-// read returns a job's row, with version 0 if there is none, and whether its
+// readJob returns a job's row, with version 0 if there is none, and whether its
 // cancelling is stored.
-func (e *Entry) read(ctx context.Context, id graph.JobID) (job store.Row, cancelled bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+func (e *Entry) readJob(ctx context.Context, id graph.JobID) (job store.Row, cancelled bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	key, mark := dispatcher.JobKey(partOf(id), id), dispatcher.CancelKey(partOf(id), id)
 	page, err := e.store.Read(ctx, store.Range{Table: key.Table, Part: key.Part, From: key.Name, To: mark.Name + "\x00"})
@@ -257,37 +257,37 @@
 // has it. The error wraps ErrNoJob, also for a job that is not the caller's, or
 // ErrNoAnswer.
 func (e *Entry) State(ctx context.Context, id graph.JobID, by Caller) (view.Told, error) {
-	told, err := e.tellState(ctx, id)
-	if err == nil && !by.May(told.Account) {
+	told, err := e.lookUpState(ctx, id)
+	if err == nil && !by.MayAccess(told.Account) {
 		return view.Told{}, ErrNoJob
 	}
 	return told, err
 }
 
-func (e *Entry) tellState(ctx context.Context, id graph.JobID) (view.Told, error) {
+func (e *Entry) lookUpState(ctx context.Context, id graph.JobID) (view.Told, error) {
 	told, known, leaderErr := e.leader.State(ctx, id)
 	if leaderErr == nil && known {
 		return told, nil
 	}
 	if leaderErr == nil {
-		leaderErr = errUnknownThere
+		leaderErr = errLeaderUnknownJob
 	}
 	if !e.store.Up() {
-		return view.Told{}, fmt.Errorf("%w: %w (leader: %w)", ErrNoAnswer, errDown, leaderErr)
+		return view.Told{}, fmt.Errorf("%w: %w (leader: %w)", ErrUnavailable, errStoreDown, leaderErr)
 	}
-	told, err := e.stored(ctx, id)
+	told, err := e.storedState(ctx, id)
 	if err != nil && !errors.Is(err, ErrNoJob) {
-		return view.Told{}, fmt.Errorf("%w: %w (leader: %w)", ErrNoAnswer, err, leaderErr)
+		return view.Told{}, fmt.Errorf("%w: %w (leader: %w)", ErrUnavailable, err, leaderErr)
 	}
 	return told, err
 }
 
-// errUnknownThere says that the leader answered, and does not know the job.
-var errUnknownThere = errors.New("it does not know the job")
+// errLeaderUnknownJob says that the leader answered, and does not know the job.
+var errLeaderUnknownJob = errors.New("it does not know the job")
 
-// stored returns what the rows of a job say.
-func (e *Entry) stored(ctx context.Context, id graph.JobID) (view.Told, error) {
-	row, cancelled, err := e.read(ctx, id)
+// storedState returns what the rows of a job say.
+func (e *Entry) storedState(ctx context.Context, id graph.JobID) (view.Told, error) {
+	row, cancelled, err := e.readJob(ctx, id)
 	if err != nil {
 		return view.Told{}, err
 	}
@@ -331,7 +331,7 @@
 func (e *Entry) Pending(ctx context.Context, queue string) (int, error) {
 	n, err := e.leader.Pending(ctx, queue)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrNoAnswer, err)
+		return 0, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	return n, nil
 }
--- a/internal/host/entry/entry_test.go
+++ b/internal/host/entry/entry_test.go
@@ -24,72 +24,72 @@
 
 const (
 	storeCost = 5 * time.Millisecond
-	one       = graph.JobID("00000000000000aa")
+	someJob   = graph.JobID("00000000000000aa")
 )
 
-var errGone = errors.New("no leader")
+var errNoLeader = errors.New("no leader")
 
-// listener is a leader that takes a while to hear, or is gone.
-type listener struct {
-	takes     time.Duration
-	gone      bool
-	deaf      atomic.Int32 // so many calls find nobody who leads
-	heard     atomic.Int32 // calls that reached it
-	cancelled map[graph.JobID]bool
-	known     map[graph.JobID]view.Told
+// fakeLeader is a leader that takes a while to hear, or is gone.
+type fakeLeader struct {
+	latency    time.Duration
+	gone       bool
+	notLeading atomic.Int32 // so many calls find nobody who leads
+	notified   atomic.Int32 // calls that reached it
+	cancelled  map[graph.JobID]bool
+	known      map[graph.JobID]view.Told
 }
 
-func (l *listener) hear(ctx context.Context) error {
+func (l *fakeLeader) notify(ctx context.Context) error {
 	if l.gone {
 		<-ctx.Done()
-		return errGone
+		return errNoLeader
 	}
-	if l.deaf.Add(-1) >= 0 {
+	if l.notLeading.Add(-1) >= 0 {
 		return dispatcher.ErrNotLeading
 	}
-	time.Sleep(l.takes)
-	l.heard.Add(1)
+	time.Sleep(l.latency)
+	l.notified.Add(1)
 	return nil
 }
 
-func (l *listener) Submitted(ctx context.Context, _ *graph.Job) error { return l.hear(ctx) }
+func (l *fakeLeader) Submitted(ctx context.Context, _ *graph.Job) error { return l.notify(ctx) }
 
-func (l *listener) Cancelled(ctx context.Context, id graph.JobID) error {
-	if err := l.hear(ctx); err != nil {
+func (l *fakeLeader) Cancelled(ctx context.Context, id graph.JobID) error {
+	if err := l.notify(ctx); err != nil {
 		return err
 	}
 	l.cancelled[id] = true
 	return nil
 }
 
-func (l *listener) State(_ context.Context, id graph.JobID) (view.Told, bool, error) {
+func (l *fakeLeader) State(_ context.Context, id graph.JobID) (view.Told, bool, error) {
 	if l.gone {
-		return view.Told{}, false, errGone
+		return view.Told{}, false, errNoLeader
 	}
 	t, known := l.known[id]
 	return t, known, nil
 }
 
-func (l *listener) Pending(context.Context, string) (int, error) { return 0, nil }
+func (l *fakeLeader) Pending(context.Context, string) (int, error) { return 0, nil }
 
-// alone is a relay without peers.
-type alone struct{ err error }
+// fakeRelay is a relay without peers.
+type fakeRelay struct{ err error }
 
-func (a alone) RelaySubmit(context.Context, *graph.Job) error          { return a.err }
-func (a alone) RelayCancel(context.Context, graph.JobID, Caller) error { return a.err }
+func (a fakeRelay) RelaySubmit(context.Context, *graph.Job) error          { return a.err }
+func (a fakeRelay) RelayCancel(context.Context, graph.JobID, Caller) error { return a.err }
 
 type rig struct {
 	table  *rows.Table
 	link   *rows.Link
-	leader *listener
+	leader *fakeLeader
 	entry  *Entry
 }
 
 func newRig(peer error) *rig {
 	t := rows.New(storeCost)
 	l := rows.NewLink(t, rand.New(rand.NewPCG(1, 2)))
-	r := &rig{table: t, link: l, leader: &listener{cancelled: map[graph.JobID]bool{}, known: map[graph.JobID]view.Told{}}}
-	r.entry = New(store.NewGauge(l, dispatcher.JobKey(0, one), func(bool, error) {}), r.leader, alone{peer}, logr.Discard())
+	r := &rig{table: t, link: l, leader: &fakeLeader{cancelled: map[graph.JobID]bool{}, known: map[graph.JobID]view.Told{}}}
+	r.entry = New(store.NewGauge(l, dispatcher.JobKey(0, someJob), func(bool, error) {}), r.leader, fakeRelay{peer}, logr.Discard())
 	return r
 }
 
@@ -101,8 +101,8 @@
 }
 
 var (
-	ctx   = context.Background()
-	kiosk = Caller{Account: "kiosks"}
+	ctx    = context.Background()
+	kiosks = Caller{Account: "kiosks"}
 )
 
 // A job is stored while one leader hands over to the next: the host asks one that leads no
@@ -112,12 +112,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(nil)
-		r.leader.deaf.Store(3)
-		is.NoErr(r.entry.Submit(ctx, job(one, "kiosks")))
+		r.leader.notLeading.Store(3)
+		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
 		time.Sleep(300 * time.Millisecond)
-		is.Equal(r.leader.heard.Load(), int32(1))
+		is.Equal(r.leader.notified.Load(), int32(1))
 		time.Sleep(2 * time.Second)
-		is.Equal(r.leader.heard.Load(), int32(1)) // and not again
+		is.Equal(r.leader.notified.Load(), int32(1)) // and not again
 	})
 }
 
@@ -128,10 +128,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(nil)
-		r.leader.takes = 30 * time.Millisecond
-		is.NoErr(r.entry.Submit(ctx, job(one, "kiosks")))
-		is.NoErr(r.entry.Cancel(ctx, one, kiosk))
-		is.True(r.leader.cancelled[one])
+		r.leader.latency = 30 * time.Millisecond
+		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
+		is.NoErr(r.entry.Cancel(ctx, someJob, kiosks))
+		is.True(r.leader.cancelled[someJob])
 	})
 }
 
@@ -141,16 +141,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(nil)
-		is.NoErr(r.entry.Submit(ctx, job(one, "kiosks")))
+		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
 		synctest.Wait() // the leader has heard of the job
 		r.leader.gone = true
 		began := time.Now()
-		is.NoErr(r.entry.Cancel(ctx, one, kiosk))
-		is.True(time.Since(began) < readBack+10*storeCost)
-		told, err := r.entry.State(ctx, one, kiosk)
+		is.NoErr(r.entry.Cancel(ctx, someJob, kiosks))
+		is.True(time.Since(began) < cancelNotifyWait+10*storeCost)
+		told, err := r.entry.State(ctx, someJob, kiosks)
 		is.NoErr(err)
 		is.Equal(told.State, progress.Cancelled)
-		time.Sleep(tellTime) // the leader is given up on
+		time.Sleep(notifyTimeout) // the leader is given up on
 	})
 }
 
@@ -159,14 +159,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(nil)
-		is.NoErr(r.entry.Submit(ctx, job(one, "kiosks")))
-		_, err := r.entry.State(ctx, one, Caller{Account: "salons"})
+		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
+		_, err := r.entry.State(ctx, someJob, Caller{Account: "salons"})
 		is.True(errors.Is(err, ErrNoJob))
-		is.True(errors.Is(r.entry.Cancel(ctx, one, Caller{Account: "salons"}), ErrNoJob))
-		told, err := r.entry.State(ctx, one, Caller{Operator: true})
+		is.True(errors.Is(r.entry.Cancel(ctx, someJob, Caller{Account: "salons"}), ErrNoJob))
+		told, err := r.entry.State(ctx, someJob, Caller{Operator: true})
 		is.NoErr(err)
 		is.Equal(told.State, progress.Queued)
-		_, err = r.entry.State(ctx, "00000000000000bb", kiosk)
+		_, err = r.entry.State(ctx, "00000000000000bb", kiosks)
 		is.True(errors.Is(err, ErrNoJob))
 	})
 }
@@ -178,8 +178,8 @@
 		is := is.New(t)
 		r := newRig(ErrNotAccepted)
 		r.link.Set(rows.Trouble{Lose: 1})
-		err := r.entry.Submit(ctx, job(one, "kiosks"))
-		is.True(r.table.Get(dispatcher.JobKey(partOf(one), one)).Version > 0) // it took effect
+		err := r.entry.Submit(ctx, job(someJob, "kiosks"))
+		is.True(r.table.Get(dispatcher.JobKey(partOf(someJob), someJob)).Version > 0) // it took effect
 		is.True(!errors.Is(err, ErrNotAccepted))
 	})
 }
@@ -191,9 +191,9 @@
 		is := is.New(t)
 		r := newRig(ErrNotAccepted)
 		r.link.Set(rows.Trouble{Refuse: true})
-		_, err := r.entry.State(ctx, one, kiosk)
-		is.True(errors.Is(err, ErrNoAnswer))
-		is.True(strings.Contains(err.Error(), errUnknownThere.Error()))
+		_, err := r.entry.State(ctx, someJob, kiosks)
+		is.True(errors.Is(err, ErrUnavailable))
+		is.True(strings.Contains(err.Error(), errLeaderUnknownJob.Error()))
 		is.True(!strings.Contains(err.Error(), "%!"))
 	})
 }
@@ -209,7 +209,7 @@
 		for i := range 50 {
 			began := time.Now()
 			is.NoErr(r.entry.Submit(ctx, job(graph.JobID(fmt.Sprintf("%016x", i)), "kiosks")))
-			is.True(time.Since(began) < 5*leastOverdue)
+			is.True(time.Since(began) < 5*minOverdue)
 		}
 	})
 }
@@ -224,8 +224,8 @@
 		hurried, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		err := r.entry.Submit(hurried, job(one, "kiosks"))
-		is.True(errors.Is(err, ErrNotKnown))
+		err := r.entry.Submit(hurried, job(someJob, "kiosks"))
+		is.True(errors.Is(err, ErrOutcomeUnknown))
 		is.True(time.Since(began) <= 200*time.Millisecond)
 	})
 }
@@ -243,14 +243,14 @@
 		patient, cancel := context.WithTimeout(ctx, 3*time.Second)
 		defer cancel()
 		began := time.Now()
-		is.NoErr(r.entry.Submit(patient, job(one, "kiosks")))
+		is.NoErr(r.entry.Submit(patient, job(someJob, "kiosks")))
 		is.True(time.Since(began) < 1500*time.Millisecond)
 		r.link.Set(rows.Trouble{Slow: 5 * time.Second})
 		impatient, cancel := context.WithTimeout(ctx, 3*time.Second)
 		defer cancel()
 		began = time.Now()
 		err := r.entry.Submit(impatient, job("00000000000000ab", "kiosks"))
-		is.True(errors.Is(err, ErrNotKnown))
+		is.True(errors.Is(err, ErrOutcomeUnknown))
 		is.True(time.Since(began) < 2700*time.Millisecond) // in time for the client
 		time.Sleep(10 * time.Second)
 	})
@@ -266,7 +266,7 @@
 		defer end()
 		go r.entry.store.Follow(following)
 		time.Sleep(5 * time.Second)
-		is.NoErr(r.entry.Submit(ctx, job(one, "kiosks")))
+		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
 		r.link.Set(rows.Trouble{Silent: true})
 		time.Sleep(2500 * time.Millisecond)
 		began := time.Now()
@@ -285,17 +285,17 @@
 	for name, c := range map[string]struct{ peer, want error }{
 		"nobody stores":       {ErrNotAccepted, ErrNotAccepted},
 		"the peer stored it":  {nil, nil},
-		"the peer cannot say": {ErrNotKnown, ErrNotKnown},
+		"the peer cannot say": {ErrOutcomeUnknown, ErrOutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				r := newRig(c.peer)
 				r.link.Set(rows.Trouble{Refuse: true})
-				err := r.entry.Submit(ctx, job(one, "kiosks"))
+				err := r.entry.Submit(ctx, job(someJob, "kiosks"))
 				is.True(errors.Is(err, c.want))
 				is.Equal(errors.Is(err, ErrNotAccepted), c.want == ErrNotAccepted)
-				is.Equal(r.table.Get(dispatcher.JobKey(partOf(one), one)).Version, int64(0))
+				is.Equal(r.table.Get(dispatcher.JobKey(partOf(someJob), someJob)).Version, int64(0))
 			})
 		})
 	}
@@ -307,10 +307,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(nil)
-		is.NoErr(r.entry.Submit(ctx, job(one, "kiosks")))
-		before := r.table.Get(dispatcher.JobKey(partOf(one), one)).Version
-		is.NoErr(r.entry.Submit(ctx, job(one, "kiosks")))
-		is.Equal(r.table.Get(dispatcher.JobKey(partOf(one), one)).Version, before)
+		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
+		before := r.table.Get(dispatcher.JobKey(partOf(someJob), someJob)).Version
+		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
+		is.Equal(r.table.Get(dispatcher.JobKey(partOf(someJob), someJob)).Version, before)
 	})
 }
 
--- a/internal/host/entry/write.go
+++ b/internal/host/entry/write.go
@@ -11,86 +11,86 @@
 
 // Figures of writing a row that is written once.
 const (
-	// leastOverdue is after how long a call without an answer counts as overdue at the
+	// minOverdue is after how long a call without an answer counts as overdue at the
 	// least: ten times what one takes on an ordinary day.
-	leastOverdue = 120 * time.Millisecond
+	minOverdue = 120 * time.Millisecond
 	// overdueFactor is how many times what calls take lately that is.
 	overdueFactor = 3
-	// retryWait is the time between a call that failed and the next.
-	retryWait = 100 * time.Millisecond
-	// slowStore is what calls take to a store that is slow: writes wait for each
+	// retryDelay is the time between a call that failed and the next.
+	retryDelay = 100 * time.Millisecond
+	// slowStoreLatency is what calls take to a store that is slow: writes wait for each
 	// other there, and one that is made again keeps others from being made at all.
-	slowStore = 60 * time.Millisecond
+	slowStoreLatency = 60 * time.Millisecond
 )
 
 // overdue returns after how long a call without an answer counts as overdue.
 func (e *Entry) overdue() time.Duration {
-	return max(leastOverdue, overdueFactor*e.store.Usual())
+	return max(minOverdue, overdueFactor*e.store.Usual())
 }
 
-// writing is a transaction that can take effect only once, on its way.
-type writing struct {
-	entry     *Entry
-	tx        store.Tx
-	answers   chan error
-	awaited   int  // calls without an answer yet
-	unsettled bool // a call may have taken effect, or still take it
-	last      error
+// pendingWrite is a transaction that can take effect only once, on its way.
+type pendingWrite struct {
+	entry          *Entry
+	tx             store.Tx
+	answers        chan error
+	outstanding    int  // calls without an answer yet
+	mayHaveApplied bool // a call may have taken effect, or still take it
+	lastErr        error
 }
 
-// putNew makes a transaction that can take effect only once, until it is known
+// commitOnce makes a transaction that can take effect only once, until it is known
 // whether it did. again tells that an earlier one has.
 //
 // A store that takes writes and loses their answers would have each client wait for
 // a time-out. While a call is overdue, its row is looked for; if it is not there, the
 // call is made again, unless the store is slow: as the rows must not be there yet,
 // only one of them takes effect, and a conflict says that one has.
-func (e *Entry) putNew(ctx context.Context, tx store.Tx) (again bool, err error) {
+func (e *Entry) commitOnce(ctx context.Context, tx store.Tx) (again bool, err error) {
 	if !e.store.Up() {
-		return false, fmt.Errorf("%w: %w", ErrNotAccepted, errDown)
+		return false, fmt.Errorf("%w: %w", ErrNotAccepted, errStoreDown)
 	}
 	if !e.storeSlow() {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, callTime)
+		ctx, cancel = context.WithTimeout(ctx, storeCallTimeout)
 		defer cancel()
 	}
-	w := &writing{entry: e, tx: tx, answers: make(chan error)}
-	w.call(ctx)
+	w := &pendingWrite{entry: e, tx: tx, answers: make(chan error)}
+	w.commit(ctx)
 	next := time.After(e.overdue())
 	for {
 		select {
 		case err := <-w.answers:
-			if over, again, err := w.take(err); over {
+			if over, again, err := w.handleAnswer(err); over {
 				return again, err
 			}
-			next = time.After(retryWait)
+			next = time.After(retryDelay)
 		case <-next:
-			if w.awaited > 0 {
-				w.unsettled = true
-				w.look(ctx)
+			if w.outstanding > 0 {
+				w.mayHaveApplied = true
+				w.checkRow(ctx)
 			} else {
-				w.call(ctx)
+				w.commit(ctx)
 			}
 			next = time.After(e.overdue())
 		case <-ctx.Done():
-			return false, fmt.Errorf("%w: %w", ErrNotKnown, errors.Join(w.last, ctx.Err()))
+			return false, fmt.Errorf("%w: %w", ErrOutcomeUnknown, errors.Join(w.lastErr, ctx.Err()))
 		}
 	}
 }
 
-// call makes the transaction once more.
-func (w *writing) call(ctx context.Context) {
-	w.awaited++
+// commit makes the transaction once more.
+func (w *pendingWrite) commit(ctx context.Context) {
+	w.outstanding++
 	go func() {
 		_, err := w.entry.store.Commit(ctx, w.tx)
 		w.answer(ctx, err)
 	}()
 }
 
-// look looks for the row of a call that is overdue, and makes the call once more if
+// checkRow looks for the row of a call that is overdue, and makes the call once more if
 // it is not there.
-func (w *writing) look(ctx context.Context) {
-	w.awaited++
+func (w *pendingWrite) checkRow(ctx context.Context) {
+	w.outstanding++
 	go func() {
 		row, err := store.Get(ctx, w.entry.store, w.tx.Put[0].Key)
 		switch {
@@ -105,25 +105,25 @@
 	}()
 }
 
-func (w *writing) answer(ctx context.Context, err error) {
+func (w *pendingWrite) answer(ctx context.Context, err error) {
 	select {
 	case w.answers <- err:
 	case <-ctx.Done(): // nobody waits any more
 	}
 }
 
-// take takes in an answer, and tells whether it settles the matter.
-func (w *writing) take(err error) (over, again bool, result error) {
-	w.awaited--
-	w.last = err
+// handleAnswer takes in an answer, and tells whether it settles the matter.
+func (w *pendingWrite) handleAnswer(err error) (over, again bool, result error) {
+	w.outstanding--
+	w.lastErr = err
 	switch {
 	case err == nil:
 		return true, false, nil
 	case errors.Is(err, store.ErrConflict):
-		return true, !w.unsettled, nil
-	case errors.Is(err, store.ErrUnavailable) && !w.unsettled:
+		return true, !w.mayHaveApplied, nil
+	case errors.Is(err, store.ErrUnavailable) && !w.mayHaveApplied:
 		return true, false, fmt.Errorf("%w: %w", ErrNotAccepted, err)
 	}
-	w.unsettled = true
+	w.mayHaveApplied = true
 	return false, false, nil
 }
--- a/internal/host/exchange/exchange_test.go
+++ b/internal/host/exchange/exchange_test.go
@@ -245,7 +245,7 @@
 		{"the leader writes it", nil, nil, nil, 0},
 		{"the leader cannot", entry.ErrNotAccepted, nil, nil, 1},
 		{"nobody can", entry.ErrNotAccepted, entry.ErrNotAccepted, entry.ErrNotAccepted, 1},
-		{"not known", entry.ErrNotKnown, nil, entry.ErrNotKnown, 0},
+		{"not known", entry.ErrOutcomeUnknown, nil, entry.ErrOutcomeUnknown, 0},
 		{"no such job", entry.ErrNoJob, nil, entry.ErrNoJob, 0},
 	}
 	for _, c := range cases {
--- a/internal/host/exchange/relaying.go
+++ b/internal/host/exchange/relaying.go
@@ -42,7 +42,7 @@
 	case b.NotAccepted:
 		return relayed{entry.ErrNotAccepted, b.Why}
 	}
-	return relayed{entry.ErrNotKnown, b.Why}
+	return relayed{entry.ErrOutcomeUnknown, b.Why}
 }
 
 // relayed is what a peer could not do, in its own words.
@@ -86,7 +86,7 @@
 		case peer.Answered(callErr), errors.Is(callErr, peer.ErrUnreached):
 			err = fmt.Errorf("%w: %w", entry.ErrNotAccepted, callErr)
 		default:
-			return fmt.Errorf("%w: %w", entry.ErrNotKnown, callErr)
+			return fmt.Errorf("%w: %w", entry.ErrOutcomeUnknown, callErr)
 		}
 	}
 	return err
--- a/internal/proof/deployment/rig_test.go
+++ b/internal/proof/deployment/rig_test.go
@@ -321,7 +321,7 @@
 		return ""
 	}
 	now, err := r.state(s)
-	if errors.Is(err, entry.ErrNoAnswer) {
+	if errors.Is(err, entry.ErrUnavailable) {
 		return err.Error()
 	}
 	if err != nil {
