--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -222,7 +222,7 @@
 }
 
 func (l *leadership) logMalformed(r store.Row, err error) {
-	l.log.Info("row ignored", "table", r.Key.Table, "part", r.Key.Part, "name", r.Key.Name, "version", r.Version, "error", fmt.Sprint(err))
+	l.log.Info("row ignored", "table", r.Key.Table, "part", r.Key.Partition, "name", r.Key.Name, "version", r.Version, "error", fmt.Sprint(err))
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -379,7 +379,7 @@
 			case <-time.After(max(next.Sub(l.clock()), 0)):
 			}
 			next = l.clock().Add(d)
-			cut, err := store.UntilRegained(l.ctx, l.regained(), f)
+			cut, err := store.RunUntilRecovered(l.ctx, l.regained(), f)
 			switch {
 			case cut:
 				next = l.clock()
--- a/internal/host/dispatcher/execute.go
+++ b/internal/host/dispatcher/execute.go
@@ -182,7 +182,7 @@
 // commit makes a transaction. cut tells that the store was regained meanwhile, and the
 // outcome is not known.
 func (l *leadership) commit(tx store.Tx) (res store.Result, cut bool, err error) {
-	cut, err = store.UntilRegained(l.ctx, l.regained(), func(ctx context.Context) error {
+	cut, err = store.RunUntilRecovered(l.ctx, l.regained(), func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		var err error
@@ -254,7 +254,7 @@
 	defer cancel()
 	page, err := l.store.Changes(ctx, jobsTable, l.scannedVersion, 0)
 	switch {
-	case errors.Is(err, store.ErrHistory):
+	case errors.Is(err, store.ErrCompacted):
 		return l.rescan(ctx)
 	case err != nil:
 		l.log.V(1).Info("jobs not scanned", "after", l.scannedVersion, "error", err.Error())
@@ -269,7 +269,7 @@
 func (l *leadership) rescan(ctx context.Context) error {
 	version := int64(0)
 	for p := range Parts {
-		page, err := store.ReadAll(ctx, l.store, store.Range{Table: jobsTable, Part: fmt.Sprint(p)})
+		page, err := store.ReadAll(ctx, l.store, store.Range{Table: jobsTable, Partition: fmt.Sprint(p)})
 		if err != nil {
 			l.log.V(1).Info("jobs not scanned", "part", p, "error", err.Error())
 			return err
