--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -56,11 +56,11 @@
 	adviser order.Adviser // nil: none
 	metrics tally.Scope
 	keeper  *catalog.Keeper // nil: no configuration
-	settled func(dispatch.Settled)
+	onSettled func(dispatch.Settled)
 	// evacuations tells which zones are evacuated; nil: none ever is.
 	evacuations func() evacuation.Status
-	// regained returns a channel that is closed when the store serves this host again.
-	regained func() <-chan struct{}
+	// recovered returns a channel that is closed when the store serves this host again.
+	recovered func() <-chan struct{}
 	log      logr.Logger
 	mu       sync.Mutex
 	serving  *leadership // nil while another host leads
@@ -80,7 +80,7 @@
 func WithAdviser(a order.Adviser) Option { return func(d *Dispatcher) { d.adviser = a } }
 
 // WithOutcomes sets who is told of jobs that have ended. It must not block.
-func WithOutcomes(f func(dispatch.Settled)) Option { return func(d *Dispatcher) { d.settled = f } }
+func WithOutcomes(f func(dispatch.Settled)) Option { return func(d *Dispatcher) { d.onSettled = f } }
 
 // WithCatalog sets where the configuration in force is found. Without one no
 // account has a guarantee.
@@ -92,17 +92,17 @@
 	return func(d *Dispatcher) { d.evacuations = f }
 }
 
-// WithRegained sets where a channel is found that is closed when the store serves this
+// WithRecovered sets where a channel is found that is closed when the store serves this
 // host again after an outage; without it what an outage held up is asked for at its usual
 // time.
-func WithRegained(f func() <-chan struct{}) Option {
-	return func(d *Dispatcher) { d.regained = f }
+func WithRecovered(f func() <-chan struct{}) Option {
+	return func(d *Dispatcher) { d.recovered = f }
 }
 
 // New returns a dispatcher that does not lead yet.
 func New(s store.Store, l order.Line, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
 	b.Parts, b.ListAge = Parts, max(b.DrainTime-startMargin, 3*b.DrainTime/4)
-	d := &Dispatcher{store: s, line: l, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, settled: func(dispatch.Settled) {}, regained: func() <-chan struct{} { return nil }, log: log}
+	d := &Dispatcher{store: s, line: l, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, onSettled: func(dispatch.Settled) {}, recovered: func() <-chan struct{} { return nil }, log: log}
 	for _, o := range opts {
 		o(d)
 	}
@@ -375,11 +375,11 @@
 			select {
 			case <-l.ctx.Done():
 				return
-			case <-l.regained():
+			case <-l.recovered():
 			case <-time.After(max(next.Sub(l.clock()), 0)):
 			}
 			next = l.clock().Add(d)
-			cut, err := store.RunUntilRecovered(l.ctx, l.regained(), f)
+			cut, err := store.RunUntilRecovered(l.ctx, l.recovered(), f)
 			switch {
 			case cut:
 				next = l.clock()
--- a/internal/host/dispatcher/evacuation_test.go
+++ b/internal/host/dispatcher/evacuation_test.go
@@ -20,8 +20,8 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	known := evacuation.Status{AsOf: now}.With("leon")
-	line := &sends{}
-	o := desk(rows.New(0), line, now, now)
+	line := &orderCounter{}
+	o := newLeadership(rows.New(0), line, now, now)
 	o.Dispatcher = New(rows.New(0), line, nil, dispatch.DefaultBounds(), logr.Discard(), WithClock(func() time.Time { return now }),
 		WithEvacuations(func() evacuation.Status { return known }))
 	o.term = leader.NewTerm(7, now)
--- a/internal/host/dispatcher/execute.go
+++ b/internal/host/dispatcher/execute.go
@@ -30,7 +30,7 @@
 	case dispatch.Save:
 		l.spawn(func() { l.save(c) })
 	case dispatch.Settled:
-		l.settled(c)
+		l.onSettled(c)
 	case dispatch.Forget:
 		l.spawn(func() { l.forget(c) })
 	case dispatch.Pace:
@@ -182,7 +182,7 @@
 // commit makes a transaction. cut tells that the store was regained meanwhile, and the
 // outcome is not known.
 func (l *leadership) commit(tx store.Tx) (res store.Result, cut bool, err error) {
-	cut, err = store.RunUntilRecovered(l.ctx, l.regained(), func(ctx context.Context) error {
+	cut, err = store.RunUntilRecovered(l.ctx, l.recovered(), func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		var err error
--- a/internal/host/dispatcher/guards_test.go
+++ b/internal/host/dispatcher/guards_test.go
@@ -20,33 +20,33 @@
 
 const someJob = graph.JobID("00000000000000aa")
 
-// sends counts the orders that reach a line.
-type sends struct {
+// orderCounter counts the orders that reach a line.
+type orderCounter struct {
 	starts, stops, paces, holds int
 }
 
-func (s *sends) Start(context.Context, order.Address, order.Start) (int64, error) {
+func (s *orderCounter) Start(context.Context, order.Address, order.Start) (int64, error) {
 	s.starts++
 	return 1, nil
 }
 
-func (s *sends) Stop(context.Context, order.Address, order.Run, int64) (int64, error) {
+func (s *orderCounter) Stop(context.Context, order.Address, order.Run, int64) (int64, error) {
 	s.stops++
 	return 1, nil
 }
 
-func (s *sends) Hold(context.Context, order.Address, order.Hold) (order.Report, error) {
+func (s *orderCounter) Hold(context.Context, order.Address, order.Hold) (order.Report, error) {
 	s.holds++
 	return order.Report{}, nil
 }
 
-func (s *sends) Pace(context.Context, order.Address, order.Run, int, int64) (int64, error) {
+func (s *orderCounter) Pace(context.Context, order.Address, order.Run, int, int64) (int64, error) {
 	s.paces++
 	return 1, nil
 }
 
-// desk returns an office whose term was taken at the time given, at a time now.
-func desk(table store.Store, line order.Line, taken, now time.Time) *leadership {
+// newLeadership returns an office whose term was taken at the time given, at a time now.
+func newLeadership(table store.Store, line order.Line, taken, now time.Time) *leadership {
 	d := New(table, line, nil, dispatch.DefaultBounds(), logr.Discard(), WithClock(func() time.Time { return now }))
 	return &leadership{Dispatcher: d, gate: limiter.NewGate(time.Now), ctx: context.Background(), term: leader.NewTerm(7, taken), events: make(chan func(time.Time), 100)}
 }
@@ -61,20 +61,20 @@
 		after time.Duration
 		sent  int
 	}{{leader.Grace / 2, 1}, {leader.Grace, 0}} {
-		line := &sends{}
-		o := desk(rows.New(0), line, taken, taken.Add(c.after))
+		line := &orderCounter{}
+		o := newLeadership(rows.New(0), line, taken, taken.Add(c.after))
 		o.start(dispatch.Start{})
 		o.stop(dispatch.Stop{})
 		o.poll(dispatch.Hold{})
 		o.pace(dispatch.Pace{})
-		is.Equal(*line, sends{c.sent, c.sent, c.sent, c.sent})
+		is.Equal(*line, orderCounter{c.sent, c.sent, c.sent, c.sent})
 	}
 }
 
-// fenced returns a table with a fence row, and an office that knows its version.
-func fenced() (*rows.Table, *leadership, dispatch.Save) {
+// newFenced returns a table with a fence row, and an office that knows its version.
+func newFenced() (*rows.Table, *leadership, dispatch.Save) {
 	table := rows.New(0)
-	o := desk(table, &sends{}, time.Unix(1000, 0), time.Unix(1000, 0))
+	o := newLeadership(table, &orderCounter{}, time.Unix(1000, 0), time.Unix(1000, 0))
 	c := dispatch.Save{Part: partOf(), Rows: []dispatch.SaveRow{{Job: someJob, Value: []byte("{}"), Completes: true}}}
 	o.fences[c.Part] = table.Put(fenceKey(c.Part), []byte("7"))
 	return table, o, c
@@ -86,10 +86,10 @@
 // wrote its fence rows must not take effect: the successor has read the rows.
 func TestProgressIsWrittenUnderTheFence(t *testing.T) {
 	is := is.New(t)
-	table, o, c := fenced()
+	table, o, c := newFenced()
 	_, err := table.Commit(context.Background(), o.transaction(c))
 	is.NoErr(err)
-	table, o, c = fenced()
+	table, o, c = newFenced()
 	table.Put(fenceKey(c.Part), []byte("8"))
 	_, err = table.Commit(context.Background(), o.transaction(c))
 	is.True(err != nil)
@@ -100,7 +100,7 @@
 // be recorded as completed: the client would be told both.
 func TestCancelledJobIsNotCompleted(t *testing.T) {
 	is := is.New(t)
-	table, o, c := fenced()
+	table, o, c := newFenced()
 	table.Put(CancelKey(c.Part, someJob), []byte("{}"))
 	_, err := table.Commit(context.Background(), o.transaction(c))
 	is.True(err != nil)
@@ -108,7 +108,7 @@
 }
 
 // slowReports is a line whose targets take half a second for a report.
-type slowReports struct{ sends }
+type slowReports struct{ orderCounter }
 
 func (s *slowReports) Hold(ctx context.Context, _ order.Address, _ order.Hold) (order.Report, error) {
 	select {
@@ -125,7 +125,7 @@
 func TestSlowReportIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		o := desk(rows.New(0), &slowReports{}, time.Now(), time.Now())
+		o := newLeadership(rows.New(0), &slowReports{}, time.Now(), time.Now())
 		_, err := o.requestReport(dispatch.Hold{})
 		is.NoErr(err)
 	})
--- a/internal/host/dispatcher/listing_test.go
+++ b/internal/host/dispatcher/listing_test.go
@@ -17,13 +17,13 @@
 
 // slowRoster takes its time for each list, and notes when it was asked.
 type slowRoster struct {
-	takes time.Duration
-	asked []time.Time
+	latency time.Duration
+	calls []time.Time
 }
 
 func (r *slowRoster) Targets(ctx context.Context) ([]roster.Target, error) {
-	r.asked = append(r.asked, time.Now())
-	sleep(ctx, r.takes)
+	r.calls = append(r.calls, time.Now())
+	sleep(ctx, r.latency)
 	return nil, ctx.Err()
 }
 
@@ -33,14 +33,14 @@
 func TestListIsReadFromTheBeginningOfTheLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := &slowRoster{takes: 600 * time.Millisecond}
-		d := New(rows.New(0), &sends{}, r, dispatch.DefaultBounds(), logr.Discard(), WithClock(time.Now))
+		r := &slowRoster{latency: 600 * time.Millisecond}
+		d := New(rows.New(0), &orderCounter{}, r, dispatch.DefaultBounds(), logr.Discard(), WithClock(time.Now))
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		_ = d.Lead(ctx, leader.NewTerm(1, time.Now()), true) // ends with the context
-		is.True(len(r.asked) > 5)
-		for i := range r.asked[1:] {
-			oldest := r.asked[i+1].Sub(r.asked[i]) + r.takes
+		is.True(len(r.calls) > 5)
+		for i := range r.calls[1:] {
+			oldest := r.calls[i+1].Sub(r.calls[i]) + r.latency
 			is.True(oldest <= d.bounds.ListAge) // the list that is known when the next one comes
 		}
 	})
--- a/internal/host/dispatcher/regained_test.go
+++ b/internal/host/dispatcher/regained_test.go
@@ -18,37 +18,37 @@
 	"guavaglade.example/guavaglade/internal/work/dispatch"
 )
 
-// outage is a store and a roster that do not answer while they are down: what is asked
+// outageStore is a store and a roster that do not answer while they are down: what is asked
 // meanwhile is lost.
-type outage struct {
+type outageStore struct {
 	*rows.Table
 	mu     sync.Mutex
 	down   bool
-	back   chan struct{}
+	up   chan struct{}
 	listed []time.Time
 	saved  []time.Time
 }
 
-func newOutage() *outage { return &outage{Table: rows.New(0), back: make(chan struct{})} }
+func newOutageStore() *outageStore { return &outageStore{Table: rows.New(0), up: make(chan struct{})} }
 
-func (o *outage) set(down bool) {
+func (o *outageStore) set(down bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.down = down
 	if !down {
-		close(o.back)
-		o.back = make(chan struct{})
+		close(o.up)
+		o.up = make(chan struct{})
 	}
 }
 
-func (o *outage) regained() <-chan struct{} {
+func (o *outageStore) recovered() <-chan struct{} {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.back
+	return o.up
 }
 
-// pass waits for ever if the store is down; else it notes the time.
-func (o *outage) pass(ctx context.Context, at *[]time.Time) error {
+// call waits for ever if the store is down; else it notes the time.
+func (o *outageStore) call(ctx context.Context, at *[]time.Time) error {
 	o.mu.Lock()
 	down := o.down
 	if !down {
@@ -63,25 +63,25 @@
 }
 
 // lists returns when lists were given.
-func (o *outage) lists() []time.Time {
+func (o *outageStore) lists() []time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.listed)
 }
 
 // saves returns when transactions were made.
-func (o *outage) saves() []time.Time {
+func (o *outageStore) saves() []time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.saved)
 }
 
-func (o *outage) Targets(ctx context.Context) ([]roster.Target, error) {
-	return nil, o.pass(ctx, &o.listed)
+func (o *outageStore) Targets(ctx context.Context) ([]roster.Target, error) {
+	return nil, o.call(ctx, &o.listed)
 }
 
-func (o *outage) Commit(ctx context.Context, tx store.Tx) (store.Result, error) {
-	if err := o.pass(ctx, &o.saved); err != nil {
+func (o *outageStore) Commit(ctx context.Context, tx store.Tx) (store.Result, error) {
+	if err := o.call(ctx, &o.saved); err != nil {
 		return store.Result{}, err
 	}
 	return o.Table.Commit(ctx, tx)
@@ -93,8 +93,8 @@
 func TestListIsReadAtOnceWhenTheStoreIsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newOutage()
-		d := New(s, &sends{}, s, dispatch.DefaultBounds(), logr.Discard(), WithClock(time.Now), WithRegained(s.regained))
+		s := newOutageStore()
+		d := New(s, &orderCounter{}, s, dispatch.DefaultBounds(), logr.Discard(), WithClock(time.Now), WithRecovered(s.recovered))
 		ctx, cancel := context.WithTimeout(t.Context(), 15*time.Second)
 		defer cancel()
 		go func() { _ = d.Lead(ctx, leader.NewTerm(1, time.Now()), true) }()
@@ -118,9 +118,9 @@
 func TestSaveIsMadeAgainAtOnceWhenTheStoreIsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newOutage()
-		o := desk(s, &sends{}, time.Now(), time.Now())
-		o.regained = s.regained
+		s := newOutageStore()
+		o := newLeadership(s, &orderCounter{}, time.Now(), time.Now())
+		o.recovered = s.recovered
 		c := dispatch.Save{Part: partOf(), Rows: []dispatch.SaveRow{{Job: someJob, Value: []byte("{}")}}}
 		o.fences[c.Part] = s.Put(fenceKey(c.Part), []byte("7"))
 		s.set(true)
@@ -138,8 +138,8 @@
 func TestLostListIsAskedForAgainSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newOutage()
-		d := New(s, &sends{}, s, dispatch.DefaultBounds(), logr.Discard(), WithClock(time.Now))
+		s := newOutageStore()
+		d := New(s, &orderCounter{}, s, dispatch.DefaultBounds(), logr.Discard(), WithClock(time.Now))
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		go func() { _ = d.Lead(ctx, leader.NewTerm(1, time.Now()), true) }()
--- a/internal/host/dispatcher/shortage_test.go
+++ b/internal/host/dispatcher/shortage_test.go
@@ -23,8 +23,8 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// headers is what an order takes on a link beside its spec, in bytes.
-const headers = 400
+// orderOverhead is what an order takes on a link beside its spec, in bytes.
+const orderOverhead = 400
 
 // narrowLink is a line over a host's link that carries so many bytes a second. What
 // is sent waits there for its turn, and goes out also after its sender has given it
@@ -43,9 +43,9 @@
 	err    error
 }
 
-// carry sends so many bytes and has f carried out when they are through. It returns
+// transmit sends so many bytes and has f carried out when they are through. It returns
 // earlier if the context ends; f is carried out all the same.
-func (l *narrowLink) carry(ctx context.Context, bytes int, f func(ctx context.Context) answer) answer {
+func (l *narrowLink) transmit(ctx context.Context, bytes int, f func(ctx context.Context) answer) answer {
 	l.mu.Lock()
 	if now := time.Now(); l.freeAt.Before(now) {
 		l.freeAt = now
@@ -68,7 +68,7 @@
 
 // Start implements order.Line.
 func (l *narrowLink) Start(ctx context.Context, to order.Address, s order.Start) (int64, error) {
-	a := l.carry(ctx, headers+len(s.Spec), func(ctx context.Context) answer {
+	a := l.transmit(ctx, orderOverhead+len(s.Spec), func(ctx context.Context) answer {
 		clock, err := l.Line.Start(ctx, to, s)
 		return answer{clock: clock, err: err}
 	})
@@ -77,7 +77,7 @@
 
 // Stop implements order.Line.
 func (l *narrowLink) Stop(ctx context.Context, to order.Address, r order.Run, term int64) (int64, error) {
-	a := l.carry(ctx, headers, func(ctx context.Context) answer {
+	a := l.transmit(ctx, orderOverhead, func(ctx context.Context) answer {
 		clock, err := l.Line.Stop(ctx, to, r, term)
 		return answer{clock: clock, err: err}
 	})
@@ -86,24 +86,24 @@
 
 // Hold implements order.Line.
 func (l *narrowLink) Hold(ctx context.Context, to order.Address, h order.Hold) (order.Report, error) {
-	a := l.carry(ctx, headers, func(ctx context.Context) answer {
+	a := l.transmit(ctx, orderOverhead, func(ctx context.Context) answer {
 		rep, err := l.Line.Hold(ctx, to, h)
 		return answer{report: rep, err: err}
 	})
 	return a.report, a.err
 }
 
-// shortage is a leader on a host with a narrow link, over racks of eight targets.
-type shortage struct {
+// narrowRig is a leader on a host with a narrow link, over racks of eight targets.
+type narrowRig struct {
 	d     *Dispatcher
 	pool  *pool.Shared
 	rows  *rows.Table
-	over  chan error
+	ended  chan error
 	tasks int
 }
 
-func lead(ctx context.Context, racks int, perSecond float64) *shortage {
-	s := &shortage{pool: pool.Share(ctx, pool.New(pool.DefaultBounds())), rows: rows.New(8 * time.Millisecond), over: make(chan error, 1)}
+func startLeader(ctx context.Context, racks int, perSecond float64) *narrowRig {
+	s := &narrowRig{pool: pool.Share(ctx, pool.New(pool.DefaultBounds())), rows: rows.New(8 * time.Millisecond), ended: make(chan error, 1)}
 	s.pool.Do(func(p *pool.Pool, now time.Time) {
 		for i := range racks * 8 {
 			name := fmt.Sprintf("t%d", i)
@@ -116,13 +116,13 @@
 	line := &narrowLink{Line: pool.NewLine(s.pool, time.Millisecond, rand.New(rand.NewPCG(1, 1))), perSecond: perSecond}
 	s.d = New(s.rows, line, s.pool, dispatch.DefaultBounds(), logr.Discard(), WithClock(time.Now))
 	term := leader.NewTerm(1, time.Now().Add(time.Hour)) // the row is written all the while
-	go func() { s.over <- s.d.Lead(ctx, term, true) }()
+	go func() { s.ended <- s.d.Lead(ctx, term, true) }()
 	time.Sleep(time.Second)
 	return s
 }
 
 // submit hands in a gang with a spec of so many bytes.
-func (s *shortage) submit(t *testing.T, n, members, spec int) {
+func (s *narrowRig) submit(t *testing.T, n, members, spec int) {
 	j := &graph.Job{
 		ID: graph.JobID(fmt.Sprintf("%016x", n+1)), Queue: "q", Service: "s", Account: "a", Priority: n % 2, MaxAttempts: 2, SlackFactor: 3,
 		Allowance: time.Second, Spec: strings.Repeat("x", spec), AcceptedAt: time.Now().UnixMilli(),
@@ -154,10 +154,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		s := lead(ctx, 12, 250_000)
+		s := startLeader(ctx, 12, 250_000)
 		defer func() {
 			cancel()
-			<-s.over
+			<-s.ended
 		}()
 		const gangs, members = 12, 26
 		for n := range gangs {
