--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -22,48 +22,48 @@
 	"guavaglade.example/guavaglade/internal/work/dispatch"
 )
 
-// Figures of the shell.
+// Intervals, timeouts and sizes.
 const (
-	tickInterval    = 100 * time.Millisecond // the finest bound that decisions keep is a retry after 200 ms
-	adviceTimeout   = 5 * time.Second        // bounds a call for advice, which takes its time for each target that it names
-	startMargin     = 200 * time.Millisecond // what a start takes to arrive, of the time in which a draining target may get work
-	scanInterval    = time.Second            // for jobs whose message was lost
-	storeTimeout    = 2 * time.Second        // bounds a call to the store
-	storeRetryDelay = 150 * time.Millisecond // between two tries
-	minReportMargin = 600 * time.Millisecond // bounds a report beyond the time that it waits
-	maxQueuedEvents = 4096                   // events that wait for the loop
+	tickInterval    = 100 * time.Millisecond // the shortest delay that decisions keep is a retry after 200 ms
+	adviceTimeout   = 5 * time.Second        // of a call for advice, which takes longer the more targets it names
+	startMargin     = 200 * time.Millisecond // for a start to arrive, out of the time in which a draining target may get work
+	scanInterval    = time.Second            // of the scan for jobs whose notification was lost
+	storeTimeout    = 2 * time.Second        // of a call to the store
+	storeRetryDelay = 150 * time.Millisecond // between two attempts
+	minReportMargin = 600 * time.Millisecond // for a report to arrive, beyond the time that the poll waits at the target
+	maxQueuedEvents = 4096                   // events that wait for the main loop
 	// minListTimeout and listFactor: how long a list of targets is waited for at least, and
 	// as a multiple of what the last one took.
 	minListTimeout    = 500 * time.Millisecond
 	listTimeoutFactor = 4
 )
 
-// Roster lists the targets that are registered.
+// Roster lists the registered targets.
 type Roster interface {
 	Targets(ctx context.Context) ([]roster.Target, error)
 }
 
-// ErrNotLeading says that this host does not lead, or has not read all jobs yet.
+// ErrNotLeading is returned if this host does not lead, or has not read all jobs yet.
 var ErrNotLeading = errors.New("not leading")
 
-// Dispatcher leads, whenever its host is told to.
+// Dispatcher schedules all work while its host leads.
 type Dispatcher struct {
-	store   store.Store
-	line    order.Line
-	roster  Roster
-	bounds  dispatch.Bounds
-	clock   steady.Clock
-	adviser order.Adviser // nil: none
-	metrics tally.Scope
-	keeper  *catalog.Keeper // nil: no configuration
+	store     store.Store
+	line      order.Line
+	roster    Roster
+	bounds    dispatch.Bounds
+	clock     steady.Clock
+	adviser   order.Adviser // nil: none
+	metrics   tally.Scope
+	keeper    *catalog.Keeper // nil: no configuration
 	onSettled func(dispatch.Settled)
-	// evacuations tells which zones are evacuated; nil: none ever is.
+	// evacuations returns which zones are evacuated; nil: none ever is.
 	evacuations func() evacuation.Status
 	// recovered returns a channel that is closed when the store serves this host again.
 	recovered func() <-chan struct{}
-	log      logr.Logger
-	mu       sync.Mutex
-	serving  *leadership // nil while another host leads
+	log       logr.Logger
+	mu        sync.Mutex
+	serving   *leadership // nil while another host leads
 }
 
 // Option sets one property of a new dispatcher.
@@ -73,28 +73,29 @@
 // system's.
 func WithClock(c steady.Clock) Option { return func(d *Dispatcher) { d.clock = c } }
 
-// WithMetrics sets where the leader counts; without it nothing is counted.
+// WithMetrics sets the scope of the leader's metrics, by default none.
 func WithMetrics(s tally.Scope) Option { return func(d *Dispatcher) { d.metrics = s } }
 
-// WithAdviser sets who is asked for advice.
+// WithAdviser sets the advice service.
 func WithAdviser(a order.Adviser) Option { return func(d *Dispatcher) { d.adviser = a } }
 
-// WithOutcomes sets who is told of jobs that have ended. It must not block.
+// WithOutcomes sets a function that is called for each job that has ended. It must not
+// block.
 func WithOutcomes(f func(dispatch.Settled)) Option { return func(d *Dispatcher) { d.onSettled = f } }
 
-// WithCatalog sets where the configuration in force is found. Without one no
-// account has a guarantee.
+// WithCatalog sets the keeper of the configuration in force. Without one no account
+// has a guarantee.
 func WithCatalog(k *catalog.Keeper) Option { return func(d *Dispatcher) { d.keeper = k } }
 
-// WithEvacuations sets where the evacuated zones are asked for. Without it no zone is
-// ever evacuated.
+// WithEvacuations sets the function that returns the evacuated zones. Without it no
+// zone is ever evacuated.
 func WithEvacuations(f func() evacuation.Status) Option {
 	return func(d *Dispatcher) { d.evacuations = f }
 }
 
-// WithRecovered sets where a channel is found that is closed when the store serves this
-// host again after an outage; without it what an outage held up is asked for at its usual
-// time.
+// WithRecovered sets a function that returns a channel which is closed when the store
+// serves this host again after an outage. Without it, calls that an outage held up are
+// repeated at their usual time.
 func WithRecovered(f func() <-chan struct{}) Option {
 	return func(d *Dispatcher) { d.recovered = f }
 }
@@ -112,53 +113,54 @@
 	return d
 }
 
-// leadership is one term while it lasts.
+// leadership is one term of leadership while it is served.
 type leadership struct {
 	*Dispatcher
 	ctx            context.Context
 	term           *leader.Term
 	machine        *dispatch.Machine
-	histories      *histories // what the machine decided
+	histories      *histories // of the jobs, in this term
 	gate           *limiter.Gate
 	events         chan func(now time.Time)
 	fences         [Parts]int64
-	configVersion  int64         // version of the configuration that the machine was told
+	configVersion  int64         // version of the configuration that the machine has
 	scannedVersion int64         // version up to which the jobs table was scanned
-	listTimeout    time.Duration // how long the next list of targets is waited for
-	// waitingLoggedAt is when a line last told that orders wait.
+	listTimeout    time.Duration // of reading the list of targets next time
+	// waitingLoggedAt is when waiting orders were last logged.
 	waitingLoggedAt time.Time
 	wg              sync.WaitGroup
 }
 
-// Lead carries out a term until the context ends or a newer term is found.
+// Lead serves a term until the context ends or a newer term is found. clean is as for
+// leader.Lead.
 func (d *Dispatcher) Lead(ctx context.Context, t *leader.Term, clean bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	o := &leadership{
+	l := &leadership{
 		Dispatcher: d, ctx: ctx, term: t, events: make(chan func(time.Time), maxQueuedEvents), histories: newHistories(d.log),
 		gate: limiter.NewGate(time.Now),
 	}
-	o.machine = dispatch.New(t.Number(), d.bounds, dispatch.WithLog(o.histories))
-	began := o.clock()
-	if err := o.restore(); err != nil {
+	l.machine = dispatch.New(t.Number(), d.bounds, dispatch.WithLog(l.histories))
+	began := l.clock()
+	if err := l.restore(); err != nil {
 		return fmt.Errorf("term %d: %w", t.Number(), err)
 	}
-	heirEnd := began.Add(d.bounds.Lease + d.bounds.Lease/16 + leader.Grace)
+	predecessorEnd := began.Add(d.bounds.Lease + d.bounds.Lease/16 + leader.Grace)
 	if clean {
-		heirEnd = heirEnd.Add(-leader.Grace)
+		predecessorEnd = predecessorEnd.Add(-leader.Grace)
 	}
-	d.log.Info("restored", "term", t.Number(), "jobs", o.machine.Counts().Jobs, "tookMS", o.clock().Sub(began).Milliseconds())
-	err := o.run(heirEnd)
+	d.log.Info("jobs restored", "term", t.Number(), "jobs", l.machine.Counts().Jobs, "tookMS", l.clock().Sub(began).Milliseconds())
+	err := l.run(predecessorEnd)
 	cancel()
 	d.setServing(nil)
-	o.wg.Wait()
+	l.wg.Wait()
 	return err
 }
 
-func (d *Dispatcher) setServing(o *leadership) {
+func (d *Dispatcher) setServing(l *leadership) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.serving = o
+	d.serving = l
 }
 
 func (d *Dispatcher) current() *leadership {
@@ -204,7 +206,7 @@
 	return nil
 }
 
-// readPartUntilAnswered reads a part, again and again until the store answers.
+// readPartUntilAnswered reads a part, and repeats this until the store answers.
 func (l *leadership) readPartUntilAnswered(part int) ([]storedJob, int64, error) {
 	for {
 		ctx, cancel := context.WithTimeout(l.ctx, storeTimeout)
@@ -222,7 +224,7 @@
 }
 
 func (l *leadership) logMalformed(r store.Row, err error) {
-	l.log.Info("row ignored", "table", r.Key.Table, "part", r.Key.Partition, "name", r.Key.Name, "version", r.Version, "error", fmt.Sprint(err))
+	l.log.Info("malformed row ignored", "table", r.Key.Table, "part", r.Key.Partition, "name", r.Key.Name, "version", r.Version, "error", fmt.Sprint(err))
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -232,7 +234,8 @@
 	}
 }
 
-// run is the loop that owns the machine.
+// run is the main loop, which owns the machine.
+// predecessorEnd is when the last lease ends that an earlier leader may have granted.
 func (l *leadership) run(predecessorEnd time.Time) error {
 	listed, err := l.awaitTargets()
 	if err != nil {
@@ -279,13 +282,13 @@
 	}
 }
 
-// updateMetrics shows what the machine holds.
+// updateMetrics updates the gauges of the machine's state and of the order queue.
 func (l *leadership) updateMetrics() {
 	c := l.machine.Counts()
-	sure, usable := l.machine.Guarantees()
+	guaranteed, usable := l.machine.Guarantees()
 	for name, n := range map[string]int{
 		"jobs": c.Jobs, "targets": c.Targets, "targets_held": c.Held, "runs": c.Runs, "steps_waiting": c.Open,
-		"zones_evacuated": c.Evacuated, "accelerators_usable": usable, "accelerators_guaranteed": sure,
+		"zones_evacuated": c.Evacuated, "accelerators_usable": usable, "accelerators_guaranteed": guaranteed,
 	} {
 		l.metrics.Gauge(name).Update(float64(n))
 	}
@@ -293,7 +296,7 @@
 	load := l.gate.Load()
 	if now := l.clock(); load.Waiting > 0 && now.Sub(l.waitingLoggedAt) >= time.Second {
 		l.waitingLoggedAt = now
-		l.log.Info("orders wait", "waiting", load.Waiting, "oldestMS", load.Oldest.Milliseconds(), "limit", load.Limit, "perSecond", int(load.Rate), "delayMS", load.Delay.Milliseconds(), "stepsWaiting", c.Open)
+		l.log.Info("orders waiting", "waiting", load.Waiting, "oldestMS", load.Oldest.Milliseconds(), "limit", load.Limit, "perSecond", int(load.Rate), "delayMS", load.Delay.Milliseconds(), "stepsWaiting", c.Open)
 	}
 	l.metrics.Gauge("orders_limit").Update(float64(load.Limit))
 	l.metrics.Gauge("orders_waiting").Update(float64(load.Waiting))
@@ -302,7 +305,7 @@
 	l.metrics.Gauge("order_delay_seconds").Update(load.Delay.Seconds())
 }
 
-// applyConfig tells the machine of a newer configuration.
+// applyConfig passes a newer configuration to the machine.
 func (l *leadership) applyConfig() {
 	if l.keeper == nil {
 		return
@@ -312,15 +315,15 @@
 		return
 	}
 	l.configVersion = now.Version()
-	sure := map[string]int{}
+	guaranteed := map[string]int{}
 	for _, a := range now.Accounts() {
-		sure[a.Name] = a.Guaranteed
+		guaranteed[a.Name] = a.Guaranteed
 	}
-	l.machine.SetGuarantees(sure)
-	l.log.Info("decides by configuration", "version", now.Version(), "accounts", len(sure))
+	l.machine.SetGuarantees(guaranteed)
+	l.log.Info("configuration applied", "version", now.Version(), "accounts", len(guaranteed))
 }
 
-// drainEvents takes in all events that wait, so that one decision covers them.
+// drainEvents handles all waiting events, so that one decision covers them.
 func (l *leadership) drainEvents() {
 	now := l.clock()
 	for range maxQueuedEvents {
@@ -333,7 +336,8 @@
 	}
 }
 
-// awaitTargets waits for the list of targets, and returns when it was asked for.
+// awaitTargets reads the first list of targets, and returns when the successful read
+// began.
 func (l *leadership) awaitTargets() (time.Time, error) {
 	for {
 		asOf := l.clock()
@@ -364,10 +368,10 @@
 	return list, nil
 }
 
-// runEvery runs f again and again, each time d after it began last, or at once if it
-// took longer. It began last at the time given. When the store is regained, f is cut
-// short and runs anew: by then its call may be lost, and much waits for it. One that
-// failed runs again after a pause.
+// runEvery runs f periodically until the term ends, each time d after the last run
+// began, or at once if that took longer. last is when it last began. When the store
+// recovers, f is cancelled and restarted: its call may be lost, and much waits for it. A
+// failed run is repeated after storeRetryDelay.
 func (l *leadership) runEvery(d time.Duration, last time.Time, f func(ctx context.Context) error) {
 	next := last.Add(d)
 	l.spawn(func() {
@@ -398,12 +402,12 @@
 	}()
 }
 
-// spawnDetached runs f, which talks to a target, beside the loop. The end of the term does
-// not wait for it: it sends nothing more by then, and a call to a target that does not
-// answer would hold up the next leader.
+// spawnDetached runs f, which calls a target, in a goroutine. The end of the term does
+// not wait for it: f sends nothing more by then, and a call to a target that does not
+// answer would delay the next leader.
 func (l *leadership) spawnDetached(f func()) { go f() }
 
-// post gives the loop an event, unless the term ends first.
+// post queues an event for the main loop, unless the term ends first.
 func (l *leadership) post(f func(now time.Time)) {
 	select {
 	case l.events <- f:
@@ -411,7 +415,7 @@
 	}
 }
 
-// refreshTargets reads the refreshTargets of targets.
+// refreshTargets reads the list of targets.
 func (l *leadership) refreshTargets(ctx context.Context) error {
 	asOf := l.clock()
 	list, err := l.readTargets(ctx, l.listTimeout)
@@ -425,8 +429,9 @@
 	return nil
 }
 
-// nextListTimeout returns how long the next list is waited for if one took so long: an
-// answer that was lost must not hold placing up until the usual time-out.
+// nextListTimeout returns the timeout of the next read of the list after one that took
+// so long. It is shorter than storeTimeout in general: a lost answer must not hold up
+// placement that long.
 func nextListTimeout(took time.Duration) time.Duration {
 	return min(max(minListTimeout, listTimeoutFactor*took), storeTimeout)
 }
--- a/internal/host/dispatcher/doc.go
+++ b/internal/host/dispatcher/doc.go
@@ -1,10 +1,10 @@
-// Package dispatcher carries a term of leadership out: it gives a
-// dispatch.Machine its events, and carries out its commands over the lines to
-// the targets and the store.
+// Package dispatcher serves a term of leadership: it feeds events to a
+// dispatch.Machine and executes the machine's commands by calls to the targets and
+// the store.
 //
-// One goroutine owns the machine. Everything that waits runs in a goroutine of
-// its own and gives its result back. A term begins with the fences of all parts,
-// then reads all rows, then asks all targets: what an earlier leader wrote or
+// One goroutine owns the machine. Calls that may block run in goroutines of their own
+// and post their results to it. A term begins by writing the fence rows of all parts,
+// then reads all rows, then polls all targets: what an earlier leader wrote or
 // acknowledged before the fence is in the rows, and what it started is in the
 // targets' reports.
 package dispatcher
--- a/internal/host/dispatcher/listing_test.go
+++ b/internal/host/dispatcher/listing_test.go
@@ -18,7 +18,7 @@
 // slowRoster takes its time for each list, and notes when it was asked.
 type slowRoster struct {
 	latency time.Duration
-	calls []time.Time
+	calls   []time.Time
 }
 
 func (r *slowRoster) Targets(ctx context.Context) ([]roster.Target, error) {
--- a/internal/host/dispatcher/regained_test.go
+++ b/internal/host/dispatcher/regained_test.go
@@ -24,7 +24,7 @@
 	*rows.Table
 	mu     sync.Mutex
 	down   bool
-	up   chan struct{}
+	up     chan struct{}
 	listed []time.Time
 	saved  []time.Time
 }
--- a/internal/host/dispatcher/shortage_test.go
+++ b/internal/host/dispatcher/shortage_test.go
@@ -98,7 +98,7 @@
 	d     *Dispatcher
 	pool  *pool.Shared
 	rows  *rows.Table
-	ended  chan error
+	ended chan error
 	tasks int
 }
 
