--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -49,7 +49,7 @@
 // Dispatcher schedules all work while its host leads.
 type Dispatcher struct {
 	store     store.Store
-	line      order.Line
+	line      order.Transport
 	roster    Roster
 	bounds    dispatch.Bounds
 	clock     steady.Clock
@@ -101,7 +101,7 @@
 }
 
 // New returns a dispatcher that does not lead yet.
-func New(s store.Store, l order.Line, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
+func New(s store.Store, l order.Transport, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
 	b.Parts, b.ListAge = Parts, max(b.DrainTime-startMargin, 3*b.DrainTime/4)
 	d := &Dispatcher{store: s, line: l, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, onSettled: func(dispatch.Settled) {}, recovered: func() <-chan struct{} { return nil }, log: log}
 	for _, o := range opts {
@@ -120,7 +120,7 @@
 	term           *leader.Term
 	machine        *dispatch.Machine
 	histories      *histories // of the jobs, in this term
-	gate           *limiter.Gate
+	gate           *limiter.Limiter
 	events         chan func(now time.Time)
 	fences         [Parts]int64
 	configVersion  int64         // version of the configuration that the machine has
@@ -138,7 +138,7 @@
 	defer cancel()
 	l := &leadership{
 		Dispatcher: d, ctx: ctx, term: t, events: make(chan func(time.Time), maxQueuedEvents), histories: newHistories(d.log),
-		gate: limiter.NewGate(time.Now),
+		gate: limiter.NewLimiter(time.Now),
 	}
 	l.machine = dispatch.New(t.Number(), d.bounds, dispatch.WithLog(l.histories))
 	began := l.clock()
@@ -149,7 +149,7 @@
 	if clean {
 		predecessorEnd = predecessorEnd.Add(-leader.Grace)
 	}
-	d.log.Info("jobs restored", "term", t.Number(), "jobs", l.machine.Counts().Jobs, "tookMS", l.clock().Sub(began).Milliseconds())
+	d.log.Info("restored", "term", t.Number(), "jobs", l.machine.Counts().Jobs, "tookMS", l.clock().Sub(began).Milliseconds())
 	err := l.run(predecessorEnd)
 	cancel()
 	d.setServing(nil)
@@ -254,8 +254,8 @@
 		if l.evacuations != nil {
 			l.machine.SetEvacuated(l.evacuations(), now)
 		}
-		l.machine.SetAhead(l.gate.Ahead())
-		l.machine.SetOrderTime(l.gate.Spent())
+		l.machine.SetAhead(l.gate.MaxPendingStarts())
+		l.machine.SetOrderTime(l.gate.MeanLatency())
 		for _, c := range l.machine.Decide(now) {
 			l.execute(c, now)
 		}
@@ -293,15 +293,15 @@
 		l.metrics.Gauge(name).Update(float64(n))
 	}
 	l.metrics.Gauge("term").Update(float64(l.term.Number()))
-	load := l.gate.Load()
+	load := l.gate.Stats()
 	if now := l.clock(); load.Waiting > 0 && now.Sub(l.waitingLoggedAt) >= time.Second {
 		l.waitingLoggedAt = now
-		l.log.Info("orders waiting", "waiting", load.Waiting, "oldestMS", load.Oldest.Milliseconds(), "limit", load.Limit, "perSecond", int(load.Rate), "delayMS", load.Delay.Milliseconds(), "stepsWaiting", c.Open)
+		l.log.Info("orders waiting", "waiting", load.Waiting, "oldestMS", load.LongestWait.Milliseconds(), "limit", load.Limit, "perSecond", int(load.Rate), "delayMS", load.Delay.Milliseconds(), "stepsWaiting", c.Open)
 	}
 	l.metrics.Gauge("orders_limit").Update(float64(load.Limit))
 	l.metrics.Gauge("orders_waiting").Update(float64(load.Waiting))
 	l.metrics.Gauge("orders_rate").Update(load.Rate)
-	l.metrics.Gauge("order_wait_seconds").Update(load.Oldest.Seconds())
+	l.metrics.Gauge("order_wait_seconds").Update(load.LongestWait.Seconds())
 	l.metrics.Gauge("order_delay_seconds").Update(load.Delay.Seconds())
 }
 
--- a/internal/host/dispatcher/execute.go
+++ b/internal/host/dispatcher/execute.go
@@ -85,11 +85,11 @@
 // counts from then: the time spent waiting in this host says nothing of the target.
 // It is the usual one, and least in any case.
 func (l *leadership) send(c limiter.Class, minTimeout time.Duration, order func(ctx context.Context) (int64, error)) (int64, error) {
-	pass, err := l.gate.Enter(l.ctx, c)
+	pass, err := l.gate.Acquire(l.ctx, c)
 	if err != nil {
 		return 0, errTermOver
 	}
-	ctx, cancel := context.WithTimeout(l.ctx, max(minTimeout, l.gate.Patience()))
+	ctx, cancel := context.WithTimeout(l.ctx, max(minTimeout, l.gate.Timeout()))
 	defer cancel()
 	if !l.mayOrder() {
 		pass.Done(false)
@@ -138,17 +138,17 @@
 func (l *leadership) requestReport(c dispatch.Hold) (rep order.Report, err error) {
 	if c.Order.Wait == 0 {
 		_, err = l.send(c.Class, minReportMargin, func(ctx context.Context) (int64, error) {
-			rep, err = l.line.Hold(ctx, c.Target, c.Order)
+			rep, err = l.line.Poll(ctx, c.Target, c.Order)
 			return 0, err
 		})
 		return rep, err
 	}
-	ctx, cancel := context.WithTimeout(l.ctx, c.Order.Wait+max(minReportMargin, l.gate.Patience()))
+	ctx, cancel := context.WithTimeout(l.ctx, c.Order.Wait+max(minReportMargin, l.gate.Timeout()))
 	defer cancel()
 	if !l.mayOrder() {
 		return rep, errTermOver
 	}
-	return l.line.Hold(ctx, c.Target, c.Order)
+	return l.line.Poll(ctx, c.Target, c.Order)
 }
 
 // save makes a transaction. One whose answer was lost is made again: its
--- a/internal/host/dispatcher/guards_test.go
+++ b/internal/host/dispatcher/guards_test.go
@@ -35,7 +35,7 @@
 	return 1, nil
 }
 
-func (s *orderCounter) Hold(context.Context, order.Address, order.Hold) (order.Report, error) {
+func (s *orderCounter) Poll(context.Context, order.Address, order.Poll) (order.Report, error) {
 	s.holds++
 	return order.Report{}, nil
 }
@@ -46,9 +46,9 @@
 }
 
 // newLeadership returns an office whose term was taken at the time given, at a time now.
-func newLeadership(table store.Store, line order.Line, taken, now time.Time) *leadership {
+func newLeadership(table store.Store, line order.Transport, taken, now time.Time) *leadership {
 	d := New(table, line, nil, dispatch.DefaultBounds(), logr.Discard(), WithClock(func() time.Time { return now }))
-	return &leadership{Dispatcher: d, gate: limiter.NewGate(time.Now), ctx: context.Background(), term: leader.NewTerm(7, taken), events: make(chan func(time.Time), 100)}
+	return &leadership{Dispatcher: d, gate: limiter.NewLimiter(time.Now), ctx: context.Background(), term: leader.NewTerm(7, taken), events: make(chan func(time.Time), 100)}
 }
 
 // A leader decides, and its process stands still before the order is sent. Another
@@ -110,7 +110,7 @@
 // slowReports is a line whose targets take half a second for a report.
 type slowReports struct{ orderCounter }
 
-func (s *slowReports) Hold(ctx context.Context, _ order.Address, _ order.Hold) (order.Report, error) {
+func (s *slowReports) Poll(ctx context.Context, _ order.Address, _ order.Poll) (order.Report, error) {
 	select {
 	case <-time.After(500 * time.Millisecond):
 		return order.Report{Clock: 1}, nil
--- a/internal/host/dispatcher/history.go
+++ b/internal/host/dispatcher/history.go
@@ -96,12 +96,12 @@
 }
 
 // of returns the lines about a job.
-func (s *histories) of(id graph.JobID) []view.Line {
+func (s *histories) of(id graph.JobID) []view.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lines := make([]view.Line, 0, len(s.byJob[id]))
+	lines := make([]view.Decision, 0, len(s.byJob[id]))
 	for _, l := range s.byJob[id] {
-		lines = append(lines, view.Line{At: l.at.UTC(), What: l.what, With: formatPairs(l.with)})
+		lines = append(lines, view.Decision{At: l.at.UTC(), What: l.what, With: formatPairs(l.with)})
 	}
 	return lines
 }
--- a/internal/host/exchange/exchange.go
+++ b/internal/host/exchange/exchange.go
@@ -62,9 +62,9 @@
 // Leading is the part of an election that peers ask about.
 type Leading interface {
 	Leader() leader.Row
-	Own() *leader.Term
-	Look(ctx context.Context) error
-	Succeed(ctx context.Context, r leader.Row, version int64) bool
+	OwnTerm() *leader.Term
+	ReadRow(ctx context.Context) error
+	AcceptTransfer(ctx context.Context, r leader.Row, version int64) bool
 }
 
 // Storing is the part of an entry that peers use.
@@ -78,10 +78,10 @@
 type Desk interface {
 	Submitted(ctx context.Context, j *graph.Job) error
 	Cancelled(ctx context.Context, id graph.JobID) error
-	State(ctx context.Context, id graph.JobID) (told view.Told, known bool, err error)
+	State(ctx context.Context, id graph.JobID) (told view.JobStatus, known bool, err error)
 	Pending(ctx context.Context, queue string) (int, error)
 	Jobs(ctx context.Context, account string) ([]view.Job, error)
-	Story(ctx context.Context, id graph.JobID) (story view.Story, known bool, err error)
+	Story(ctx context.Context, id graph.JobID) (story view.History, known bool, err error)
 	Fleet(ctx context.Context) (view.Fleet, error)
 }
 
@@ -169,9 +169,9 @@
 	case methodCatalog:
 		return x.keeper.Stored(), nil
 	case methodLook:
-		return nil, x.leading.Look(ctx)
+		return nil, x.leading.ReadRow(ctx)
 	case methodSucceed:
-		return answer(params, func(in succeedBody) (any, error) { return x.leading.Succeed(ctx, in.Row, in.Version), nil })
+		return answer(params, func(in succeedBody) (any, error) { return x.leading.AcceptTransfer(ctx, in.Row, in.Version), nil })
 	case methodSubmit:
 		return answer(params, func(in graph.Job) (any, error) { return settled(x.storing.SubmitHere(ctx, &in)), nil })
 	case methodCancel:
--- a/internal/host/exchange/exchange_test.go
+++ b/internal/host/exchange/exchange_test.go
@@ -44,12 +44,12 @@
 func (d *desk) Pending(context.Context, string) (int, error)     { return d.pending, d.err() }
 func (d *desk) Fleet(context.Context) (view.Fleet, error)        { return view.Fleet{}, d.err() }
 func (d *desk) Jobs(context.Context, string) ([]view.Job, error) { return nil, d.err() }
-func (d *desk) State(context.Context, graph.JobID) (view.Told, bool, error) {
-	return view.Told{Queue: "refill"}, true, d.err()
+func (d *desk) State(context.Context, graph.JobID) (view.JobStatus, bool, error) {
+	return view.JobStatus{Queue: "refill"}, true, d.err()
 }
 
-func (d *desk) Story(context.Context, graph.JobID) (view.Story, bool, error) {
-	return view.Story{}, true, d.err()
+func (d *desk) Story(context.Context, graph.JobID) (view.History, bool, error) {
+	return view.History{}, true, d.err()
 }
 
 // election says who leads.
@@ -58,10 +58,10 @@
 	term *leader.Term // nil: another host leads
 }
 
-func (e *election) Leader() leader.Row                              { return e.row }
-func (e *election) Own() *leader.Term                               { return e.term }
-func (e *election) Look(context.Context) error                      { return nil }
-func (e *election) Succeed(context.Context, leader.Row, int64) bool { return true }
+func (e *election) Leader() leader.Row                                     { return e.row }
+func (e *election) OwnTerm() *leader.Term                                  { return e.term }
+func (e *election) ReadRow(context.Context) error                          { return nil }
+func (e *election) AcceptTransfer(context.Context, leader.Row, int64) bool { return true }
 
 // rows is a host's way to the store.
 type rows struct {
