--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -49,7 +49,7 @@
 // Dispatcher schedules all work while its host leads.
 type Dispatcher struct {
 	store     store.Store
-	line      order.Transport
+	transport      order.Transport
 	roster    Roster
 	bounds    dispatch.Bounds
 	clock     steady.Clock
@@ -102,8 +102,8 @@
 
 // New returns a dispatcher that does not lead yet.
 func New(s store.Store, l order.Transport, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
-	b.Parts, b.ListAge = Parts, max(b.DrainTime-startMargin, 3*b.DrainTime/4)
-	d := &Dispatcher{store: s, line: l, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, onSettled: func(dispatch.Settled) {}, recovered: func() <-chan struct{} { return nil }, log: log}
+	b.Parts, b.ListAge = Partitions, max(b.DrainTime-startMargin, 3*b.DrainTime/4)
+	d := &Dispatcher{store: s, transport: l, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, onSettled: func(dispatch.Settled) {}, recovered: func() <-chan struct{} { return nil }, log: log}
 	for _, o := range opts {
 		o(d)
 	}
@@ -120,9 +120,9 @@
 	term           *leader.Term
 	machine        *dispatch.Machine
 	histories      *histories // of the jobs, in this term
-	gate           *limiter.Limiter
+	limiter           *limiter.Limiter
 	events         chan func(now time.Time)
-	fences         [Parts]int64
+	fences         [Partitions]int64
 	configVersion  int64         // version of the configuration that the machine has
 	scannedVersion int64         // version up to which the jobs table was scanned
 	listTimeout    time.Duration // of reading the list of targets next time
@@ -138,7 +138,7 @@
 	defer cancel()
 	l := &leadership{
 		Dispatcher: d, ctx: ctx, term: t, events: make(chan func(time.Time), maxQueuedEvents), histories: newHistories(d.log),
-		gate: limiter.NewLimiter(time.Now),
+		limiter: limiter.NewLimiter(time.Now),
 	}
 	l.machine = dispatch.New(t.Number(), d.bounds, dispatch.WithLog(l.histories))
 	began := l.clock()
@@ -178,19 +178,19 @@
 		version int64
 		err     error
 	}
-	results := make(chan result, Parts)
-	for p := range Parts {
+	results := make(chan result, Partitions)
+	for p := range Partitions {
 		go func() {
 			r := result{part: p}
 			if r.fence, r.err = writeFence(l.ctx, l.store, p, l.term.Number()); r.err == nil {
-				r.jobs, r.version, r.err = l.readPartUntilAnswered(p)
+				r.jobs, r.version, r.err = l.readPartitionUntilAnswered(p)
 			}
 			results <- r
 		}()
 	}
 	now := l.clock()
 	l.machine.SetWall(l.clock.WallOffset())
-	for i := range Parts {
+	for i := range Partitions {
 		r := <-results
 		if r.err != nil {
 			return r.err
@@ -206,11 +206,11 @@
 	return nil
 }
 
-// readPartUntilAnswered reads a part, and repeats this until the store answers.
-func (l *leadership) readPartUntilAnswered(part int) ([]storedJob, int64, error) {
+// readPartitionUntilAnswered reads a part, and repeats this until the store answers.
+func (l *leadership) readPartitionUntilAnswered(part int) ([]storedJob, int64, error) {
 	for {
 		ctx, cancel := context.WithTimeout(l.ctx, storeTimeout)
-		jobs, version, err := readPart(ctx, l.store, part, l.logMalformed)
+		jobs, version, err := readPartition(ctx, l.store, part, l.logMalformed)
 		cancel()
 		if err == nil {
 			return jobs, version, nil
@@ -254,8 +254,8 @@
 		if l.evacuations != nil {
 			l.machine.SetEvacuated(l.evacuations(), now)
 		}
-		l.machine.SetAhead(l.gate.MaxPendingStarts())
-		l.machine.SetOrderTime(l.gate.MeanLatency())
+		l.machine.SetAhead(l.limiter.MaxPendingStarts())
+		l.machine.SetOrderTime(l.limiter.MeanLatency())
 		for _, c := range l.machine.Decide(now) {
 			l.execute(c, now)
 		}
@@ -293,7 +293,7 @@
 		l.metrics.Gauge(name).Update(float64(n))
 	}
 	l.metrics.Gauge("term").Update(float64(l.term.Number()))
-	load := l.gate.Stats()
+	load := l.limiter.Stats()
 	if now := l.clock(); load.Waiting > 0 && now.Sub(l.waitingLoggedAt) >= time.Second {
 		l.waitingLoggedAt = now
 		l.log.Info("orders waiting", "waiting", load.Waiting, "oldestMS", load.LongestWait.Milliseconds(), "limit", load.Limit, "perSecond", int(load.Rate), "delayMS", load.Delay.Milliseconds(), "stepsWaiting", c.Open)
--- a/internal/host/dispatcher/execute.go
+++ b/internal/host/dispatcher/execute.go
@@ -62,21 +62,21 @@
 			l.metrics.Counter("starts_withheld").Inc(1)
 			return 0, fmt.Errorf("start on %s in zone %s: %w", c.Target.ID, c.Zone, order.ErrWithheld)
 		}
-		return l.line.Start(ctx, c.Target, c.Order)
+		return l.transport.Start(ctx, c.Target, c.Order)
 	})
 	l.post(func(now time.Time) { l.machine.StartAnswered(c.Target.ID, c.Order.Run, clock, err, now) })
 }
 
 func (l *leadership) stop(c dispatch.Stop) {
 	clock, err := l.send(c.Class, 0, func(ctx context.Context) (int64, error) {
-		return l.line.Stop(ctx, c.Target, c.Run, l.term.Number())
+		return l.transport.Stop(ctx, c.Target, c.Run, l.term.Number())
 	})
 	l.post(func(now time.Time) { l.machine.StopAnswered(c.Target.ID, c.Run, clock, err, now) })
 }
 
 func (l *leadership) pace(c dispatch.Pace) {
 	clock, err := l.send(limiter.Start, 0, func(ctx context.Context) (int64, error) {
-		return l.line.Pace(ctx, c.Target, c.Run, c.Percent, l.term.Number())
+		return l.transport.Pace(ctx, c.Target, c.Run, c.Percent, l.term.Number())
 	})
 	l.post(func(now time.Time) { l.machine.PaceAnswered(c.Target.ID, c.Run, clock, err, now) })
 }
@@ -85,11 +85,11 @@
 // counts from then: the time spent waiting in this host says nothing of the target.
 // It is the usual one, and least in any case.
 func (l *leadership) send(c limiter.Class, minTimeout time.Duration, order func(ctx context.Context) (int64, error)) (int64, error) {
-	pass, err := l.gate.Acquire(l.ctx, c)
+	pass, err := l.limiter.Acquire(l.ctx, c)
 	if err != nil {
 		return 0, errTermOver
 	}
-	ctx, cancel := context.WithTimeout(l.ctx, max(minTimeout, l.gate.Timeout()))
+	ctx, cancel := context.WithTimeout(l.ctx, max(minTimeout, l.limiter.Timeout()))
 	defer cancel()
 	if !l.mayOrder() {
 		pass.Done(false)
@@ -138,17 +138,17 @@
 func (l *leadership) requestReport(c dispatch.Hold) (rep order.Report, err error) {
 	if c.Order.Wait == 0 {
 		_, err = l.send(c.Class, minReportMargin, func(ctx context.Context) (int64, error) {
-			rep, err = l.line.Poll(ctx, c.Target, c.Order)
+			rep, err = l.transport.Poll(ctx, c.Target, c.Order)
 			return 0, err
 		})
 		return rep, err
 	}
-	ctx, cancel := context.WithTimeout(l.ctx, c.Order.Wait+max(minReportMargin, l.gate.Timeout()))
+	ctx, cancel := context.WithTimeout(l.ctx, c.Order.Wait+max(minReportMargin, l.limiter.Timeout()))
 	defer cancel()
 	if !l.mayOrder() {
 		return rep, errTermOver
 	}
-	return l.line.Poll(ctx, c.Target, c.Order)
+	return l.transport.Poll(ctx, c.Target, c.Order)
 }
 
 // save makes a transaction. One whose answer was lost is made again: its
@@ -268,7 +268,7 @@
 // rescan reads all rows, after the feed's history was lost.
 func (l *leadership) rescan(ctx context.Context) error {
 	version := int64(0)
-	for p := range Parts {
+	for p := range Partitions {
 		page, err := store.ReadAll(ctx, l.store, store.Range{Table: jobsTable, Partition: fmt.Sprint(p)})
 		if err != nil {
 			l.log.V(1).Info("jobs not scanned", "part", p, "error", err.Error())
--- a/internal/host/dispatcher/guards_test.go
+++ b/internal/host/dispatcher/guards_test.go
@@ -48,7 +48,7 @@
 // newLeadership returns an office whose term was taken at the time given, at a time now.
 func newLeadership(table store.Store, line order.Transport, taken, now time.Time) *leadership {
 	d := New(table, line, nil, dispatch.DefaultBounds(), logr.Discard(), WithClock(func() time.Time { return now }))
-	return &leadership{Dispatcher: d, gate: limiter.NewLimiter(time.Now), ctx: context.Background(), term: leader.NewTerm(7, taken), events: make(chan func(time.Time), 100)}
+	return &leadership{Dispatcher: d, limiter: limiter.NewLimiter(time.Now), ctx: context.Background(), term: leader.NewTerm(7, taken), events: make(chan func(time.Time), 100)}
 }
 
 // A leader decides, and its process stands still before the order is sent. Another
@@ -80,7 +80,7 @@
 	return table, o, c
 }
 
-func partOf() int { return dispatch.PartOf(someJob, Parts) }
+func partOf() int { return dispatch.PartOf(someJob, Partitions) }
 
 // A leader was succeeded and does not know it. What it records after the successor
 // wrote its fence rows must not take effect: the successor has read the rows.
--- a/internal/host/dispatcher/history.go
+++ b/internal/host/dispatcher/history.go
@@ -15,7 +15,7 @@
 // Bounds of what is kept of decisions: some kilobytes for each of the jobs of a
 // few minutes.
 const (
-	maxLinesPerJob = 60
+	maxDecisionsPerJob = 60
 	maxJobs        = 2000
 )
 
@@ -32,8 +32,8 @@
 // few stories are ever read.
 type decision struct {
 	at   time.Time
-	what string
-	with []any // keys and values in turn, that nobody changes
+	message string
+	pairs []any // keys and values in turn, that nobody changes
 }
 
 func newHistories(log logr.Logger) *histories {
@@ -41,31 +41,31 @@
 }
 
 // Decided implements dispatch.Log.
-func (s *histories) Decided(what string, kv ...any) {
-	s.log.Info(what, kv...)
+func (h *histories) Decided(what string, kv ...any) {
+	h.log.Info(what, kv...)
 	id, ok := jobOf(kv)
 	if !ok {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	lines, known := s.byJob[id]
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	lines, known := h.byJob[id]
 	if !known {
-		s.evictOldest()
-		s.jobOrder = append(s.jobOrder, id)
+		h.evictOldest()
+		h.jobOrder = append(h.jobOrder, id)
 	}
-	if len(lines) == maxLinesPerJob { // the first lines say how it came in: the second half goes on
-		lines = append(lines[:maxLinesPerJob/2], lines[maxLinesPerJob/2+1:]...)
+	if len(lines) == maxDecisionsPerJob { // the first lines say how it came in: the second half goes on
+		lines = append(lines[:maxDecisionsPerJob/2], lines[maxDecisionsPerJob/2+1:]...)
 	}
-	s.byJob[id] = append(lines, decision{at: time.Now(), what: what, with: kv})
+	h.byJob[id] = append(lines, decision{at: time.Now(), message: what, pairs: kv})
 }
 
-func (s *histories) evictOldest() {
-	if len(s.jobOrder) < maxJobs {
+func (h *histories) evictOldest() {
+	if len(h.jobOrder) < maxJobs {
 		return
 	}
-	delete(s.byJob, s.jobOrder[0])
-	s.jobOrder = s.jobOrder[1:]
+	delete(h.byJob, h.jobOrder[0])
+	h.jobOrder = h.jobOrder[1:]
 }
 
 // jobOf finds the job that a decision is about.
@@ -95,13 +95,13 @@
 	return b.String()
 }
 
-// of returns the lines about a job.
-func (s *histories) of(id graph.JobID) []view.Decision {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	lines := make([]view.Decision, 0, len(s.byJob[id]))
-	for _, l := range s.byJob[id] {
-		lines = append(lines, view.Decision{At: l.at.UTC(), What: l.what, With: formatPairs(l.with)})
+// ofJob returns the lines about a job.
+func (h *histories) ofJob(id graph.JobID) []view.Decision {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	lines := make([]view.Decision, 0, len(h.byJob[id]))
+	for _, l := range h.byJob[id] {
+		lines = append(lines, view.Decision{At: l.at.UTC(), What: l.message, With: formatPairs(l.pairs)})
 	}
 	return lines
 }
--- a/internal/host/dispatcher/requests.go
+++ b/internal/host/dispatcher/requests.go
@@ -46,7 +46,7 @@
 		story.Term = m.Term()
 	})
 	if o := d.current(); o != nil && known {
-		story.Decisions = o.histories.of(id)
+		story.Decisions = o.histories.ofJob(id)
 	}
 	return story, known, err
 }
--- a/internal/host/dispatcher/rows.go
+++ b/internal/host/dispatcher/rows.go
@@ -22,10 +22,10 @@
 	cancelSuffix  = ".cancel"
 )
 
-// Parts is the number of parts over which the rows of jobs are spread. A part makes
+// Partitions is the number of parts over which the rows of jobs are spread. A part makes
 // its transactions one after the other, and must not be the limit on a slow store. A
 // leader's first write goes to each part.
-const Parts = 16
+const Partitions = 16
 
 // JobKey returns the key of an accepted job.
 func JobKey(part int, id graph.JobID) store.Key {
@@ -119,9 +119,9 @@
 	cancelled bool
 }
 
-// readPart reads all jobs of a part, and the version from which a feed goes on.
+// readPartition reads all jobs of a part, and the version from which a feed goes on.
 // Rows that cannot be read are handed to odd and left out.
-func readPart(ctx context.Context, s store.Store, part int, odd func(store.Row, error)) ([]storedJob, int64, error) {
+func readPartition(ctx context.Context, s store.Store, part int, odd func(store.Row, error)) ([]storedJob, int64, error) {
 	name := strconv.Itoa(part)
 	jobs, err := store.ReadAll(ctx, s, store.Range{Table: jobsTable, Partition: name})
 	if err != nil {
--- a/internal/host/entry/entry.go
+++ b/internal/host/entry/entry.go
@@ -336,4 +336,4 @@
 	return n, nil
 }
 
-func partOf(id graph.JobID) int { return dispatch.PartOf(id, dispatcher.Parts) }
+func partOf(id graph.JobID) int { return dispatch.PartOf(id, dispatcher.Partitions) }
