--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -32,8 +32,8 @@
 	storeRetryDelay = 150 * time.Millisecond // between two attempts
 	minReportMargin = 600 * time.Millisecond // for a report to arrive, beyond the time that the poll waits at the target
 	maxQueuedEvents = 4096                   // events that wait for the main loop
-	// minListTimeout and listFactor: how long a list of targets is waited for at least, and
-	// as a multiple of what the last one took.
+	// minListTimeout and listTimeoutFactor set the timeout of reading the list of targets:
+	// a multiple of what the last read took, with a minimum.
 	minListTimeout    = 500 * time.Millisecond
 	listTimeoutFactor = 4
 )
@@ -49,7 +49,7 @@
 // Dispatcher schedules all work while its host leads.
 type Dispatcher struct {
 	store     store.Store
-	transport      order.Transport
+	transport order.Transport
 	roster    Roster
 	bounds    dispatch.Bounds
 	clock     steady.Clock
@@ -120,7 +120,7 @@
 	term           *leader.Term
 	machine        *dispatch.Machine
 	histories      *histories // of the jobs, in this term
-	limiter           *limiter.Limiter
+	limiter        *limiter.Limiter
 	events         chan func(now time.Time)
 	fences         [Partitions]int64
 	configVersion  int64         // version of the configuration that the machine has
@@ -169,19 +169,19 @@
 	return d.serving
 }
 
-// restore fences all parts and reads their rows.
+// restore writes the fence rows of all partitions and reads their jobs.
 func (l *leadership) restore() error {
 	type result struct {
-		part    int
-		jobs    []storedJob
-		fence   int64
-		version int64
-		err     error
+		partition int
+		jobs      []storedJob
+		fence     int64
+		version   int64
+		err       error
 	}
 	results := make(chan result, Partitions)
 	for p := range Partitions {
 		go func() {
-			r := result{part: p}
+			r := result{partition: p}
 			if r.fence, r.err = writeFence(l.ctx, l.store, p, l.term.Number()); r.err == nil {
 				r.jobs, r.version, r.err = l.readPartitionUntilAnswered(p)
 			}
@@ -195,7 +195,7 @@
 		if r.err != nil {
 			return r.err
 		}
-		l.fences[r.part] = r.fence
+		l.fences[r.partition] = r.fence
 		if i == 0 || r.version < l.scannedVersion {
 			l.scannedVersion = r.version
 		}
@@ -206,11 +206,11 @@
 	return nil
 }
 
-// readPartitionUntilAnswered reads a part, and repeats this until the store answers.
-func (l *leadership) readPartitionUntilAnswered(part int) ([]storedJob, int64, error) {
+// readPartitionUntilAnswered reads a partition, and repeats this until the store answers.
+func (l *leadership) readPartitionUntilAnswered(partition int) ([]storedJob, int64, error) {
 	for {
 		ctx, cancel := context.WithTimeout(l.ctx, storeTimeout)
-		jobs, version, err := readPartition(ctx, l.store, part, l.logMalformed)
+		jobs, version, err := readPartition(ctx, l.store, partition, l.logMalformed)
 		cancel()
 		if err == nil {
 			return jobs, version, nil
@@ -218,7 +218,7 @@
 		if l.ctx.Err() != nil {
 			return nil, 0, err
 		}
-		l.log.Info("rows not read", "part", part, "error", err.Error())
+		l.log.Info("rows not read", "part", partition, "error", err.Error())
 		sleep(l.ctx, storeRetryDelay)
 	}
 }
--- a/internal/host/dispatcher/doc.go
+++ b/internal/host/dispatcher/doc.go
@@ -3,8 +3,8 @@
 // the store.
 //
 // One goroutine owns the machine. Calls that may block run in goroutines of their own
-// and post their results to it. A term begins by writing the fence rows of all parts,
-// then reads all rows, then polls all targets: what an earlier leader wrote or
-// acknowledged before the fence is in the rows, and what it started is in the
+// and post their results to it. A term begins by writing the fence rows of all
+// partitions, then reads all rows, then polls all targets: what an earlier leader wrote
+// or acknowledged before the fence is in the rows, and what it started is in the
 // targets' reports.
 package dispatcher
--- a/internal/host/dispatcher/execute.go
+++ b/internal/host/dispatcher/execute.go
@@ -15,10 +15,11 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// errTermOver says that an order was not sent because the term may have ended.
-var errTermOver = fmt.Errorf("%w: the leader row was not written for too long", order.ErrUnreached)
+// errTermOver is returned for an order that was not sent because the term may have
+// ended.
+var errTermOver = fmt.Errorf("%w: the leader row was not renewed in time", order.ErrUnreached)
 
-// execute carries out a command in a goroutine of its own.
+// execute starts the execution of a command.
 func (l *leadership) execute(c dispatch.Command, _ time.Time) {
 	switch c := c.(type) {
 	case dispatch.Start:
@@ -40,20 +41,20 @@
 	}
 }
 
-// mayOrder reports whether orders mayOrder be given at this moment. A process that was
-// frozen mayOrder have been succeeded meanwhile: the clock is read just before each
-// order, and counts the time of the freeze.
+// mayOrder reports whether orders may be sent at this moment. While the process was
+// suspended another host may have taken over: the clock is read just before each order,
+// and counts the time of the suspension.
 func (l *leadership) mayOrder() bool { return l.term.Valid(l.clock()) }
 
-// mayStartIn reports whether work may start in a zone at this moment. A start may have
-// waited for its turn since it was decided, while the zone was evacuated.
+// mayStartIn reports whether work may start in a zone at this moment. The zone may have
+// been evacuated while a start waited in the limiter.
 func (l *leadership) mayStartIn(zone string) bool {
 	if l.evacuations == nil {
 		return true
 	}
-	known := l.evacuations()
-	age := l.clock().Sub(known.AsOf)
-	return !known.Has(zone) && (l.bounds.EvacuationAge == 0 || age <= l.bounds.EvacuationAge)
+	status := l.evacuations()
+	age := l.clock().Sub(status.AsOf)
+	return !status.Has(zone) && (l.bounds.EvacuationAge == 0 || age <= l.bounds.EvacuationAge)
 }
 
 func (l *leadership) start(c dispatch.Start) {
@@ -81,32 +82,32 @@
 	l.post(func(now time.Time) { l.machine.PaceAnswered(c.Target.ID, c.Run, clock, err, now) })
 }
 
-// send gives an order when its turn has come. The time that its answer may take
-// counts from then: the time spent waiting in this host says nothing of the target.
-// It is the usual one, and least in any case.
+// send sends an order once the limiter admits it. The timeout counts from then, since
+// the time spent waiting in this host says nothing of the target. It is the limiter's,
+// and at least minTimeout.
 func (l *leadership) send(c limiter.Class, minTimeout time.Duration, order func(ctx context.Context) (int64, error)) (int64, error) {
-	pass, err := l.limiter.Acquire(l.ctx, c)
+	slot, err := l.limiter.Acquire(l.ctx, c)
 	if err != nil {
 		return 0, errTermOver
 	}
 	ctx, cancel := context.WithTimeout(l.ctx, max(minTimeout, l.limiter.Timeout()))
 	defer cancel()
 	if !l.mayOrder() {
-		pass.Done(false)
+		slot.Done(false)
 		return 0, errTermOver
 	}
 	clock, err := order(ctx)
-	pass.Done(answered(err))
+	slot.Done(answered(err))
 	return clock, err
 }
 
-// answered reports whether a target answered an order, whatever it said.
+// answered reports whether the error of an order, or none, is an answer of the target.
 func answered(err error) bool {
 	return !errors.Is(err, order.ErrUnanswered) && !errors.Is(err, order.ErrUnreached) && !errors.Is(err, order.ErrWithheld)
 }
 
-// errNoAdviser says that a queue wants advice and the deployment has no service
-// for it.
+// errNoAdviser is returned if a queue needs advice and the deployment has no advice
+// service.
 var errNoAdviser = errors.New("no advice service")
 
 func (l *leadership) advise(c dispatch.Advise) {
@@ -133,8 +134,8 @@
 	})
 }
 
-// requestReport asks for a requestReport. One that waits for an end at its target is no load
-// meanwhile, and takes no place among the orders in flight.
+// requestReport polls a target for its report. A poll that waits at the target for the
+// end of a run is no load meanwhile, and does not count against the limiter.
 func (l *leadership) requestReport(c dispatch.Hold) (rep order.Report, err error) {
 	if c.Order.Wait == 0 {
 		_, err = l.send(c.Class, minReportMargin, func(ctx context.Context) (int64, error) {
@@ -151,12 +152,12 @@
 	return l.transport.Poll(ctx, c.Target, c.Order)
 }
 
-// save makes a transaction. One whose answer was lost is made again: its
-// conditions keep it from taking effect twice, and the refusal then shows what
-// is there.
+// save commits a transaction of progress rows. One whose answer was lost is committed
+// again: its conditions keep it from taking effect twice, and the conflict then returns
+// the stored rows.
 func (l *leadership) save(c dispatch.Save) {
 	tx := l.transaction(c)
-	for tries := 0; ; tries++ {
+	for attempt := 0; ; attempt++ {
 		res, cut, err := l.commit(tx)
 		switch {
 		case cut:
@@ -167,19 +168,19 @@
 		case errors.Is(err, store.ErrConflict):
 			l.resolveConflict(c, tx, res.Rows)
 			return
-		case errors.Is(err, store.ErrUnavailable) && tries == 0:
+		case errors.Is(err, store.ErrUnavailable) && attempt == 0:
 			l.log.V(1).Info("progress not saved", "part", c.Part, "rows", len(c.Rows), "error", err.Error())
 			l.post(func(now time.Time) { l.machine.SaveFailed(c.Part, now) })
 			return
 		case l.ctx.Err() != nil:
 			return
 		}
-		l.log.V(1).Info("progress saved or not", "part", c.Part, "rows", len(c.Rows), "error", err.Error())
+		l.log.V(1).Info("outcome of saving progress unknown", "part", c.Part, "rows", len(c.Rows), "error", err.Error())
 		sleep(l.ctx, storeRetryDelay)
 	}
 }
 
-// commit makes a transaction. cut tells that the store was regained meanwhile, and the
+// commit commits a transaction. cut reports that the store recovered meanwhile, so the
 // outcome is not known.
 func (l *leadership) commit(tx store.Tx) (res store.Result, cut bool, err error) {
 	cut, err = store.RunUntilRecovered(l.ctx, l.recovered(), func(ctx context.Context) error {
@@ -205,7 +206,7 @@
 	return tx
 }
 
-// forget takes the rows of jobs out. What fails is asked for again.
+// forget removes the rows of jobs. The machine repeats a command that failed.
 func (l *leadership) forget(c dispatch.Forget) {
 	tx := store.Tx{Expect: []store.Expect{{Key: fenceKey(c.Part), Version: l.fences[c.Part]}}}
 	for _, id := range c.Jobs {
@@ -214,20 +215,20 @@
 	ctx, cancel := context.WithTimeout(l.ctx, storeTimeout)
 	defer cancel()
 	if _, err := l.store.Commit(ctx, tx); err != nil {
-		l.log.V(1).Info("rows of ended jobs not taken out", "part", c.Part, "jobs", len(c.Jobs), "error", err.Error())
+		l.log.V(1).Info("rows of ended jobs not removed", "part", c.Part, "jobs", len(c.Jobs), "error", err.Error())
 		return
 	}
-	l.log.V(1).Info("rows of ended jobs taken out", "part", c.Part, "jobs", len(c.Jobs))
+	l.log.V(1).Info("rows of ended jobs removed", "part", c.Part, "jobs", len(c.Jobs))
 	l.post(func(time.Time) { l.machine.Forgotten(c) })
 }
 
-// resolveConflict looks at the rows that made a transaction fail.
+// resolveConflict evaluates the stored rows that made a transaction fail.
 func (l *leadership) resolveConflict(c dispatch.Save, tx store.Tx, rows []store.Row) {
-	there := map[store.Key]store.Row{}
+	stored := map[store.Key]store.Row{}
 	for _, r := range rows {
-		there[r.Key] = r
+		stored[r.Key] = r
 	}
-	if there[tx.Expect[0].Key].Version != tx.Expect[0].Version {
+	if stored[tx.Expect[0].Key].Version != tx.Expect[0].Version {
 		l.log.Info("deposed", "step", "save", "part", c.Part, "term", l.term.Number())
 		l.post(func(time.Time) { l.machine.Depose() })
 		return
@@ -235,20 +236,20 @@
 	found := make([]dispatch.Found, 0, len(c.Rows))
 	same := true
 	for _, r := range c.Rows {
-		row := there[ProgressKey(c.Part, r.Job)]
-		_, cancelled := there[CancelKey(c.Part, r.Job)]
+		row := stored[ProgressKey(c.Part, r.Job)]
+		_, cancelled := stored[CancelKey(c.Part, r.Job)]
 		same = same && bytes.Equal(row.Value, r.Value) && row.Version > r.Version
 		found = append(found, dispatch.Found{Job: r.Job, Version: row.Version, Cancelled: cancelled && r.Completes})
 	}
-	if same { // an earlier try took effect
-		version := there[ProgressKey(c.Part, c.Rows[0].Job)].Version
+	if same { // an earlier attempt took effect
+		version := stored[ProgressKey(c.Part, c.Rows[0].Job)].Version
 		l.post(func(now time.Time) { l.machine.Saved(c.Part, version, now) })
 		return
 	}
 	l.post(func(now time.Time) { l.machine.SaveRefused(c.Part, found, now) })
 }
 
-// scan looks for jobs and cancellings whose message did not come.
+// scan finds jobs and cancellations whose notification was lost.
 func (l *leadership) scan(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -265,7 +266,7 @@
 	return nil
 }
 
-// rescan reads all rows, after the feed's history was lost.
+// rescan reads all rows, after the change feed was compacted past scannedVersion.
 func (l *leadership) rescan(ctx context.Context) error {
 	version := int64(0)
 	for p := range Partitions {
@@ -279,7 +280,7 @@
 			version = page.Version
 		}
 	}
-	l.log.Info("history lost, jobs read anew", "version", version)
+	l.log.Info("change feed compacted, all jobs read", "version", version)
 	l.scannedVersion = version
 	return nil
 }
--- a/internal/host/dispatcher/history.go
+++ b/internal/host/dispatcher/history.go
@@ -12,28 +12,28 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// Bounds of what is kept of decisions: some kilobytes for each of the jobs of a
-// few minutes.
+// Bounds of the decisions that are kept: some kilobytes for each of the jobs of a few
+// minutes.
 const (
 	maxDecisionsPerJob = 60
-	maxJobs        = 2000
+	maxJobs            = 2000
 )
 
-// histories logs what a machine decides, and keeps the newest lines about each job,
-// so that its story can be told. It is safe for several goroutines.
+// histories logs the decisions of a machine, and keeps those about each job for its
+// history. It is safe for concurrent use.
 type histories struct {
 	log      logr.Logger
 	mu       sync.Mutex
 	byJob    map[graph.JobID][]decision
-	jobOrder []graph.JobID // in which the jobs came
+	jobOrder []graph.JobID // oldest first
 }
 
-// decision is a decision as it was decision. It is put into words only when somebody asks:
-// few stories are ever read.
+// decision is a logged decision. It is formatted only on request: few histories are ever
+// read.
 type decision struct {
-	at   time.Time
+	at      time.Time
 	message string
-	pairs []any // keys and values in turn, that nobody changes
+	pairs   []any // alternating keys and values, not modified
 }
 
 func newHistories(log logr.Logger) *histories {
@@ -49,15 +49,15 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	lines, known := h.byJob[id]
+	decisions, known := h.byJob[id]
 	if !known {
 		h.evictOldest()
 		h.jobOrder = append(h.jobOrder, id)
 	}
-	if len(lines) == maxDecisionsPerJob { // the first lines say how it came in: the second half goes on
-		lines = append(lines[:maxDecisionsPerJob/2], lines[maxDecisionsPerJob/2+1:]...)
+	if len(decisions) == maxDecisionsPerJob { // the first half shows how the job was admitted: the oldest of the second half goes
+		decisions = append(decisions[:maxDecisionsPerJob/2], decisions[maxDecisionsPerJob/2+1:]...)
 	}
-	h.byJob[id] = append(lines, decision{at: time.Now(), message: what, pairs: kv})
+	h.byJob[id] = append(decisions, decision{at: time.Now(), message: what, pairs: kv})
 }
 
 func (h *histories) evictOldest() {
@@ -68,7 +68,7 @@
 	h.jobOrder = h.jobOrder[1:]
 }
 
-// jobOf finds the job that a decision is about.
+// jobOf returns the job that a decision is about.
 func jobOf(kv []any) (graph.JobID, bool) {
 	for i := 0; i+1 < len(kv); i += 2 {
 		switch v := kv[i+1].(type) {
@@ -83,7 +83,7 @@
 	return "", false
 }
 
-// formatPairs writes keys and values as a log line does.
+// formatPairs formats keys and values as a log line does.
 func formatPairs(kv []any) string {
 	var b strings.Builder
 	for i := 0; i+1 < len(kv); i += 2 {
@@ -95,13 +95,13 @@
 	return b.String()
 }
 
-// ofJob returns the lines about a job.
+// ofJob returns the decisions about a job, oldest first.
 func (h *histories) ofJob(id graph.JobID) []view.Decision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	lines := make([]view.Decision, 0, len(h.byJob[id]))
-	for _, l := range h.byJob[id] {
-		lines = append(lines, view.Decision{At: l.at.UTC(), What: l.message, With: formatPairs(l.pairs)})
+	list := make([]view.Decision, 0, len(h.byJob[id]))
+	for _, d := range h.byJob[id] {
+		list = append(list, view.Decision{At: d.at.UTC(), What: d.message, With: formatPairs(d.pairs)})
 	}
-	return lines
+	return list
 }
--- a/internal/host/dispatcher/requests.go
+++ b/internal/host/dispatcher/requests.go
@@ -9,21 +9,21 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// Submitted tells the leader of a job that was accepted and stored.
+// Submitted notifies the leader of a job that was accepted and stored.
 func (d *Dispatcher) Submitted(ctx context.Context, j *graph.Job) error {
 	return d.onLoop(ctx, func(m *dispatch.Machine, now time.Time) { m.Accept(j, now) })
 }
 
-// Cancelled tells the leader of a job whose cancelling was stored.
+// Cancelled notifies the leader that a job's cancellation was stored.
 func (d *Dispatcher) Cancelled(ctx context.Context, id graph.JobID) error {
 	return d.onLoop(ctx, func(m *dispatch.Machine, now time.Time) { m.Cancel(id, now) })
 }
 
-// State returns what clients may be told of a job, and whether the leader knows
-// it.
-func (d *Dispatcher) State(ctx context.Context, id graph.JobID) (told view.JobStatus, known bool, err error) {
-	err = d.onLoop(ctx, func(m *dispatch.Machine, _ time.Time) { told, known = m.Told(id) })
-	return told, known, err
+// State returns the status that clients may see of a job, and whether the leader knows
+// the job.
+func (d *Dispatcher) State(ctx context.Context, id graph.JobID) (status view.JobStatus, known bool, err error) {
+	err = d.onLoop(ctx, func(m *dispatch.Machine, _ time.Time) { status, known = m.Told(id) })
+	return status, known, err
 }
 
 // Pending returns how many jobs of a queue have not started.
@@ -38,34 +38,34 @@
 	return list, err
 }
 
-// Story returns a job with what was decided about it, and whether the leader
-// knows it.
-func (d *Dispatcher) Story(ctx context.Context, id graph.JobID) (story view.History, known bool, err error) {
+// History returns a job with the decisions about it, and whether the leader knows the
+// job.
+func (d *Dispatcher) History(ctx context.Context, id graph.JobID) (history view.History, known bool, err error) {
 	err = d.onLoop(ctx, func(m *dispatch.Machine, _ time.Time) {
-		story.Job, known = m.Job(id)
-		story.Term = m.Term()
+		history.Job, known = m.Job(id)
+		history.Term = m.Term()
 	})
-	if o := d.current(); o != nil && known {
-		story.Decisions = o.histories.ofJob(id)
+	if l := d.current(); l != nil && known {
+		history.Decisions = l.histories.ofJob(id)
 	}
-	return story, known, err
+	return history, known, err
 }
 
-// Fleet returns what the leader holds of targets and accounts.
+// Fleet returns the targets and accounts as the leader knows them.
 func (d *Dispatcher) Fleet(ctx context.Context) (f view.Fleet, err error) {
 	err = d.onLoop(ctx, func(m *dispatch.Machine, now time.Time) { f = m.Fleet(now) })
 	return f, err
 }
 
-// onLoop has the loop run f and waits until it did.
+// onLoop runs f on the main loop and waits for it.
 func (d *Dispatcher) onLoop(ctx context.Context, f func(m *dispatch.Machine, now time.Time)) error {
-	o := d.current()
-	if o == nil || !o.term.Valid(d.clock()) {
+	l := d.current()
+	if l == nil || !l.term.Valid(d.clock()) {
 		return ErrNotLeading
 	}
 	done := make(chan struct{})
-	o.post(func(now time.Time) {
-		f(o.machine, now)
+	l.post(func(now time.Time) {
+		f(l.machine, now)
 		close(done)
 	})
 	select {
@@ -73,7 +73,7 @@
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-o.ctx.Done():
+	case <-l.ctx.Done():
 		return ErrNotLeading
 	}
 }
--- a/internal/host/dispatcher/rows.go
+++ b/internal/host/dispatcher/rows.go
@@ -13,7 +13,7 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// Tables of the system's own rows.
+// Tables and names of the system's own rows.
 const (
 	jobsTable     = "jobs"
 	progressTable = "progress"
@@ -22,28 +22,28 @@
 	cancelSuffix  = ".cancel"
 )
 
-// Partitions is the number of parts over which the rows of jobs are spread. A part makes
-// its transactions one after the other, and must not be the limit on a slow store. A
-// leader's first write goes to each part.
+// Partitions is the number of partitions over which the rows of jobs are spread. A
+// partition commits one transaction at a time, which must not be the limit on a slow
+// store. A new leader writes a fence row to each of them first.
 const Partitions = 16
 
 // JobKey returns the key of an accepted job.
-func JobKey(part int, id graph.JobID) store.Key {
-	return store.Key{Table: jobsTable, Partition: strconv.Itoa(part), Name: string(id)}
+func JobKey(partition int, id graph.JobID) store.Key {
+	return store.Key{Table: jobsTable, Partition: strconv.Itoa(partition), Name: string(id)}
 }
 
-// CancelKey returns the key of a job's cancelling.
-func CancelKey(part int, id graph.JobID) store.Key {
-	return store.Key{Table: jobsTable, Partition: strconv.Itoa(part), Name: string(id) + cancelSuffix}
+// CancelKey returns the key of the row that marks a job as cancelled.
+func CancelKey(partition int, id graph.JobID) store.Key {
+	return store.Key{Table: jobsTable, Partition: strconv.Itoa(partition), Name: string(id) + cancelSuffix}
 }
 
-// ProgressKey returns the key of a job's progress.
-func ProgressKey(part int, id graph.JobID) store.Key {
-	return store.Key{Table: progressTable, Partition: strconv.Itoa(part), Name: string(id)}
+// ProgressKey returns the key of a job's progress row.
+func ProgressKey(partition int, id graph.JobID) store.Key {
+	return store.Key{Table: progressTable, Partition: strconv.Itoa(partition), Name: string(id)}
 }
 
-func fenceKey(part int) store.Key {
-	return store.Key{Table: fenceTable, Partition: strconv.Itoa(part), Name: fenceName}
+func fenceKey(partition int) store.Key {
+	return store.Key{Table: fenceTable, Partition: strconv.Itoa(partition), Name: fenceName}
 }
 
 // EncodeJob returns the value of a job's row.
@@ -55,7 +55,7 @@
 	return b, nil
 }
 
-// DecodeJob reads the value of a job's row, and refuses one that could not have
+// DecodeJob decodes the value of a job's row. It fails for a job that could not have
 // been accepted.
 func DecodeJob(value []byte) (*graph.Job, error) {
 	j := &graph.Job{}
@@ -68,50 +68,50 @@
 	return j, nil
 }
 
-// errNewerTerm says that a part's fence names a newer term.
+// errNewerTerm is returned if a partition's fence row names a newer term.
 var errNewerTerm = errors.New("a newer term has begun")
 
-// writeFence writes the term into a part's writeFence and returns the row's version, which
-// every write of progress expects from then on. It goes on until it succeeds, a
+// writeFence writes the term into a partition's fence row and returns the row's version,
+// which every write of progress expects from then on. It retries until it succeeds, a
 // newer term is found there or the context ends.
-func writeFence(ctx context.Context, s store.Store, part int, term int64) (int64, error) {
+func writeFence(ctx context.Context, s store.Store, partition int, term int64) (int64, error) {
 	for {
-		version, err := tryWriteFence(ctx, s, part, term)
+		version, err := tryWriteFence(ctx, s, partition, term)
 		if err == nil || errors.Is(err, errNewerTerm) {
 			return version, err
 		}
 		if ctx.Err() != nil {
-			return 0, fmt.Errorf("fence part %d: %w", part, err)
+			return 0, fmt.Errorf("write fence of partition %d: %w", partition, err)
 		}
 		sleep(ctx, storeRetryDelay)
 	}
 }
 
-func tryWriteFence(ctx context.Context, s store.Store, part int, term int64) (int64, error) {
+func tryWriteFence(ctx context.Context, s store.Store, partition int, term int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	row, err := store.Get(ctx, s, fenceKey(part))
+	row, err := store.Get(ctx, s, fenceKey(partition))
 	if err != nil {
 		return 0, err
 	}
-	there, err := strconv.ParseInt(string(row.Value), 10, 64)
+	stored, err := strconv.ParseInt(string(row.Value), 10, 64)
 	if err != nil && row.Version != 0 {
-		return 0, fmt.Errorf("fence of part %d: %w", part, err)
+		return 0, fmt.Errorf("decode fence of partition %d: %w", partition, err)
 	}
-	if there > term {
-		return 0, fmt.Errorf("part %d: term %d: %w", part, there, errNewerTerm)
+	if stored > term {
+		return 0, fmt.Errorf("partition %d: term %d: %w", partition, stored, errNewerTerm)
 	}
-	if there == term {
-		return row.Version, nil // an earlier try whose answer was lost
+	if stored == term {
+		return row.Version, nil // of an earlier attempt whose answer was lost
 	}
 	res, err := s.Commit(ctx, store.Tx{
-		Expect: []store.Expect{{Key: fenceKey(part), Version: row.Version}},
-		Put:    []store.Put{{Key: fenceKey(part), Value: strconv.AppendInt(nil, term, 10)}},
+		Expect: []store.Expect{{Key: fenceKey(partition), Version: row.Version}},
+		Put:    []store.Put{{Key: fenceKey(partition), Value: strconv.AppendInt(nil, term, 10)}},
 	})
 	return res.Version, err
 }
 
-// storedJob is a job with what the store has of it.
+// storedJob is a job as its rows describe it.
 type storedJob struct {
 	spec      *graph.Job
 	progress  *progress.Job // nil for none
@@ -119,20 +119,20 @@
 	cancelled bool
 }
 
-// readPartition reads all jobs of a part, and the version from which a feed goes on.
-// Rows that cannot be read are handed to odd and left out.
-func readPartition(ctx context.Context, s store.Store, part int, odd func(store.Row, error)) ([]storedJob, int64, error) {
-	name := strconv.Itoa(part)
+// readPartition reads all jobs of a partition, and the version after which the change feed
+// continues. Rows that cannot be decoded are passed to malformed and left out.
+func readPartition(ctx context.Context, s store.Store, partition int, malformed func(store.Row, error)) ([]storedJob, int64, error) {
+	name := strconv.Itoa(partition)
 	jobs, err := store.ReadAll(ctx, s, store.Range{Table: jobsTable, Partition: name})
 	if err != nil {
-		return nil, 0, fmt.Errorf("read jobs of part %d: %w", part, err)
+		return nil, 0, fmt.Errorf("read jobs of partition %d: %w", partition, err)
 	}
-	done, err := store.ReadAll(ctx, s, store.Range{Table: progressTable, Partition: name})
+	saved, err := store.ReadAll(ctx, s, store.Range{Table: progressTable, Partition: name})
 	if err != nil {
-		return nil, 0, fmt.Errorf("read progress of part %d: %w", part, err)
+		return nil, 0, fmt.Errorf("read progress of partition %d: %w", partition, err)
 	}
 	byID := map[string]store.Row{}
-	for _, r := range done.Rows {
+	for _, r := range saved.Rows {
 		byID[r.Key.Name] = r
 	}
 	var list []storedJob
@@ -148,14 +148,14 @@
 		}
 		spec, err := DecodeJob(r.Value)
 		if err != nil || string(spec.ID) != r.Key.Name {
-			odd(r, err)
+			malformed(r, err)
 			continue
 		}
 		a := storedJob{spec: spec, cancelled: cancelled[r.Key.Name]}
 		if p, ok := byID[r.Key.Name]; ok {
 			a.version = p.Version
 			if a.progress, err = progress.Decode(p.Value); err != nil {
-				odd(p, err)
+				malformed(p, err)
 			}
 		}
 		list = append(list, a)
--- a/internal/host/exchange/exchange.go
+++ b/internal/host/exchange/exchange.go
@@ -81,7 +81,7 @@
 	State(ctx context.Context, id graph.JobID) (told view.JobStatus, known bool, err error)
 	Pending(ctx context.Context, queue string) (int, error)
 	Jobs(ctx context.Context, account string) ([]view.Job, error)
-	Story(ctx context.Context, id graph.JobID) (story view.History, known bool, err error)
+	History(ctx context.Context, id graph.JobID) (story view.History, known bool, err error)
 	Fleet(ctx context.Context) (view.Fleet, error)
 }
 
--- a/internal/host/exchange/exchange_test.go
+++ b/internal/host/exchange/exchange_test.go
@@ -48,7 +48,7 @@
 	return view.JobStatus{Queue: "refill"}, true, d.err()
 }
 
-func (d *desk) Story(context.Context, graph.JobID) (view.History, bool, error) {
+func (d *desk) History(context.Context, graph.JobID) (view.History, bool, error) {
 	return view.History{}, true, d.err()
 }
 
--- a/internal/host/exchange/viewing.go
+++ b/internal/host/exchange/viewing.go
@@ -30,7 +30,7 @@
 }
 
 func (x *Exchange) ownStory(ctx context.Context, id graph.JobID) (storyBody, error) {
-	story, known, err := x.desk.Story(ctx, id)
+	story, known, err := x.desk.History(ctx, id)
 	return storyBody{Story: story, Known: known}, err
 }
 
