--- a/internal/host/dispatcher/listing_test.go
+++ b/internal/host/dispatcher/listing_test.go
@@ -15,7 +15,7 @@
 	"guavaglade.example/guavaglade/internal/work/dispatch"
 )
 
-// slowRoster takes its time for each list, and notes when it was asked.
+// slowRoster takes latency for each list, and records when it was called.
 type slowRoster struct {
 	latency time.Duration
 	calls   []time.Time
@@ -27,10 +27,10 @@
 	return nil, ctx.Err()
 }
 
-// A store takes six tenths of a second for the list of targets. The leader asked
-// for the next one a second after it had got the last, which was then up to 2.2 s
-// old, and for part of each round nothing was started for that.
-func TestListIsReadFromTheBeginningOfTheLast(t *testing.T) {
+// Reading the list of targets takes 0.6 s. If the interval counted from the end of the
+// last read, the list would get up to 2.2 s old, past ListAge, and nothing would start
+// for a part of each interval.
+func TestListIntervalCountsFromStartOfLastRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := &slowRoster{latency: 600 * time.Millisecond}
@@ -41,7 +41,7 @@
 		is.True(len(r.calls) > 5)
 		for i := range r.calls[1:] {
 			oldest := r.calls[i+1].Sub(r.calls[i]) + r.latency
-			is.True(oldest <= d.bounds.ListAge) // the list that is known when the next one comes
+			is.True(oldest <= d.bounds.ListAge) // age of the list that is in use when the next one arrives
 		}
 	})
 }
--- a/internal/host/dispatcher/shortage_test.go
+++ b/internal/host/dispatcher/narrow_link_test.go
@@ -23,12 +23,12 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// orderOverhead is what an order takes on a link beside its spec, in bytes.
+// orderOverhead is the size of an order on a link without its spec, in bytes.
 const orderOverhead = 400
 
-// narrowLink is a line over a host's link that carries so many bytes a second. What
-// is sent waits there for its turn, and goes out also after its sender has given it
-// up, as bytes do that a socket has taken.
+// narrowLink is a transport over a host's link of limited bandwidth. What is sent queues
+// there, and is transmitted even after its sender has given up, like bytes in a socket
+// buffer.
 type narrowLink struct {
 	order.Transport
 	perSecond float64
@@ -36,15 +36,15 @@
 	freeAt    time.Time
 }
 
-// answer is what a target answers.
+// answer is the answer of a target.
 type answer struct {
 	clock  int64
 	report order.Report
 	err    error
 }
 
-// transmit sends so many bytes and has f carried out when they are through. It returns
-// earlier if the context ends; f is carried out all the same.
+// transmit sends so many bytes and runs f once they have arrived. It returns earlier if
+// the context ends; f runs all the same.
 func (l *narrowLink) transmit(ctx context.Context, bytes int, f func(ctx context.Context) answer) answer {
 	l.mu.Lock()
 	if now := time.Now(); l.freeAt.Before(now) {
@@ -93,7 +93,7 @@
 	return a.report, a.err
 }
 
-// narrowRig is a leader on a host with a narrow link, over racks of eight targets.
+// narrowRig is a leader on a host with a narrow link, with racks of eight targets.
 type narrowRig struct {
 	d     *Dispatcher
 	pool  *pool.Shared
@@ -103,8 +103,8 @@
 }
 
 func startLeader(ctx context.Context, racks int, perSecond float64) *narrowRig {
-	s := &narrowRig{pool: pool.Share(ctx, pool.New(pool.DefaultBounds())), rows: rows.New(8 * time.Millisecond), ended: make(chan error, 1)}
-	s.pool.Do(func(p *pool.Pool, now time.Time) {
+	r := &narrowRig{pool: pool.Share(ctx, pool.New(pool.DefaultBounds())), rows: rows.New(8 * time.Millisecond), ended: make(chan error, 1)}
+	r.pool.Do(func(p *pool.Pool, now time.Time) {
 		for i := range racks * 8 {
 			name := fmt.Sprintf("t%d", i)
 			p.Add(roster.Target{
@@ -113,60 +113,60 @@
 			}, 1, now)
 		}
 	})
-	line := &narrowLink{Transport: pool.NewLine(s.pool, time.Millisecond, rand.New(rand.NewPCG(1, 1))), perSecond: perSecond}
-	s.d = New(s.rows, line, s.pool, dispatch.DefaultBounds(), logr.Discard(), WithClock(time.Now))
-	term := leader.NewTerm(1, time.Now().Add(time.Hour)) // the row is written all the while
-	go func() { s.ended <- s.d.Lead(ctx, term, true) }()
+	link := &narrowLink{Transport: pool.NewLine(r.pool, time.Millisecond, rand.New(rand.NewPCG(1, 1))), perSecond: perSecond}
+	r.d = New(r.rows, link, r.pool, dispatch.DefaultBounds(), logr.Discard(), WithClock(time.Now))
+	term := leader.NewTerm(1, time.Now().Add(time.Hour)) // as if the row were renewed all the time
+	go func() { r.ended <- r.d.Lead(ctx, term, true) }()
 	time.Sleep(time.Second)
-	return s
+	return r
 }
 
-// submit hands in a gang with a spec of so many bytes.
-func (s *narrowRig) submit(t *testing.T, n, members, spec int) {
+// submit submits a gang with a spec of so many bytes.
+func (r *narrowRig) submit(t *testing.T, n, members, spec int) {
 	j := &graph.Job{
 		ID: graph.JobID(fmt.Sprintf("%016x", n+1)), Queue: "q", Service: "s", Account: "a", Priority: n % 2, MaxAttempts: 2, SlackFactor: 3,
 		Allowance: time.Second, Spec: strings.Repeat("x", spec), AcceptedAt: time.Now().UnixMilli(),
 		Steps: []graph.Step{{Count: members, Gang: true, Estimate: 2500 * time.Millisecond, Needs: graph.Resources{CPU: 7500, MemoryMB: 31000, Accelerators: 1}}},
 	}
-	s.pool.Do(func(p *pool.Pool, _ time.Time) {
+	r.pool.Do(func(p *pool.Pool, _ time.Time) {
 		p.Submit(j, pool.Behaviour{Work: func(graph.TaskID) time.Duration { return j.Steps[0].Estimate }})
 	})
 	value, err := EncodeJob(j)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = s.rows.Commit(t.Context(), store.Tx{Put: []store.Put{{Key: JobKey(dispatch.PartOf(j.ID, Partitions), j.ID), Value: value}}})
+	_, err = r.rows.Commit(t.Context(), store.Tx{Put: []store.Put{{Key: JobKey(dispatch.PartOf(j.ID, Partitions), j.ID), Value: value}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.d.Submitted(t.Context(), j); err != nil {
+	if err := r.d.Submitted(t.Context(), j); err != nil {
 		t.Fatal(err)
 	}
-	s.tasks += members
+	r.tasks += members
 }
 
-// Twelve gangs of 26 come at once to a leader whose link carries 2 Mbit/s: their starts
-// are five seconds of it. The leader sent all of them, and what waited longer than an
-// order may take timed out, was sent again, then stopped: gangs began in part, were
-// broken off and begun anew, reports were late, sound targets seemed silent, and it
-// went on so long after the burst. Now each start waits in the leader until its turn.
-func TestBurstOverANarrowLink(t *testing.T) {
+// Twelve gangs of 26 arrive at once at a leader whose link carries 2 Mbit/s, so that
+// their starts take five seconds to transmit. If the leader sent all of them at once, those
+// that queue longer than the timeout of an order would be repeated, then stopped: gangs
+// would start in part and be restarted, reports would be late and healthy targets
+// unreachable, long after the burst. Each start has to wait in the leader instead.
+func TestBurstOverNarrowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		s := startLeader(ctx, 12, 250_000)
+		r := startLeader(ctx, 12, 250_000)
 		defer func() {
 			cancel()
-			<-s.ended
+			<-r.ended
 		}()
 		const gangs, members = 12, 26
 		for n := range gangs {
-			s.submit(t, n, members, 4000)
+			r.submit(t, n, members, 4000)
 		}
 		time.Sleep(20 * time.Second)
-		s.pool.Do(func(p *pool.Pool, _ time.Time) {
+		r.pool.Do(func(p *pool.Pool, _ time.Time) {
 			is.Equal(p.Breaches(), nil)
-			is.Equal(p.Starts(), s.tasks) // nothing was begun twice
+			is.Equal(p.Starts(), r.tasks) // nothing was started twice
 			for n := range gangs {
 				is.Equal(p.Done(graph.JobID(fmt.Sprintf("%016x", n+1))), members)
 			}
--- a/internal/host/dispatcher/regained_test.go
+++ b/internal/host/dispatcher/recovery_test.go
@@ -18,8 +18,8 @@
 	"guavaglade.example/guavaglade/internal/work/dispatch"
 )
 
-// outageStore is a store and a roster that do not answer while they are down: what is asked
-// meanwhile is lost.
+// outageStore is a store and a roster that do not answer while down is set: calls made
+// meanwhile are lost.
 type outageStore struct {
 	*rows.Table
 	mu     sync.Mutex
@@ -31,7 +31,7 @@
 
 func newOutageStore() *outageStore { return &outageStore{Table: rows.New(0), up: make(chan struct{})} }
 
-func (o *outageStore) set(down bool) {
+func (o *outageStore) setDown(down bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.down = down
@@ -47,12 +47,12 @@
 	return o.up
 }
 
-// call waits for ever if the store is down; else it notes the time.
-func (o *outageStore) call(ctx context.Context, at *[]time.Time) error {
+// call blocks until the context ends if the store is down; else it records the time.
+func (o *outageStore) call(ctx context.Context, times *[]time.Time) error {
 	o.mu.Lock()
 	down := o.down
 	if !down {
-		*at = append(*at, time.Now())
+		*times = append(*times, time.Now())
 	}
 	o.mu.Unlock()
 	if !down {
@@ -62,14 +62,14 @@
 	return store.ErrOutcomeUnknown
 }
 
-// lists returns when lists were given.
+// lists returns when lists were returned.
 func (o *outageStore) lists() []time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.listed)
 }
 
-// saves returns when transactions were made.
+// saves returns when transactions were committed.
 func (o *outageStore) saves() []time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -87,10 +87,10 @@
 	return o.Table.Commit(ctx, tx)
 }
 
-// The store does not answer for five seconds. The call for the list of targets that was
-// on its way when it came back was waited for until its time-out, and nothing was placed
-// by the old list meanwhile: all work that had gathered started up to two seconds late.
-func TestListIsReadAtOnceWhenTheStoreIsBack(t *testing.T) {
+// The store does not answer for five seconds. Waiting for the read of the target list that
+// is in flight at its recovery, until the timeout, would delay all pending work by up to
+// two seconds, as the old list is too old to place by.
+func TestListIsReadAtOnceWhenStoreRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newOutageStore()
@@ -99,43 +99,43 @@
 		defer cancel()
 		go func() { _ = d.Lead(ctx, leader.NewTerm(1, time.Now()), true) }()
 		time.Sleep(3 * time.Second)
-		s.set(true)
+		s.setDown(true)
 		time.Sleep(5 * time.Second)
 		before := len(s.lists())
-		s.set(false)
-		back := time.Now()
+		s.setDown(false)
+		recoveredAt := time.Now()
 		time.Sleep(time.Second)
 		lists := s.lists()
 		is.True(len(lists) > before)
-		is.True(lists[before].Sub(back) < 50*time.Millisecond)
+		is.True(lists[before].Sub(recoveredAt) < 50*time.Millisecond)
 		<-ctx.Done()
 		time.Sleep(time.Second)
 	})
 }
 
-// The same for progress: what was decided is started, and what has ended is told, once
-// it is saved.
-func TestSaveIsMadeAgainAtOnceWhenTheStoreIsBack(t *testing.T) {
+// The same for progress: starts are sent and ends are shown to clients only after the
+// save.
+func TestSaveIsRepeatedAtOnceWhenStoreRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newOutageStore()
-		o := newLeadership(s, &orderCounter{}, time.Now(), time.Now())
-		o.recovered = s.recovered
-		c := dispatch.Save{Part: partOf(), Rows: []dispatch.SaveRow{{Job: someJob, Value: []byte("{}")}}}
-		o.fences[c.Part] = s.Put(fenceKey(c.Part), []byte("7"))
-		s.set(true)
-		go o.save(c)
+		l := newLeadership(s, &orderCounter{}, time.Now(), time.Now())
+		l.recovered = s.recovered
+		c := dispatch.Save{Part: somePartition(), Rows: []dispatch.SaveRow{{Job: someJob, Value: []byte("{}")}}}
+		l.fences[c.Part] = s.Put(fenceKey(c.Part), []byte("7"))
+		s.setDown(true)
+		go l.save(c)
 		time.Sleep(1500 * time.Millisecond)
-		s.set(false)
+		s.setDown(false)
 		synctest.Wait()
 		is.Equal(len(s.saves()), 1)
 		is.True(s.Get(ProgressKey(c.Part, someJob)).Version > 0)
 	})
 }
 
-// A store loses answers: the list that was asked for never comes. The next one is asked
-// for soon, and not after the longest time that a call may take.
-func TestLostListIsAskedForAgainSoon(t *testing.T) {
+// The store loses the answer to a read of the target list. The list is read again soon,
+// and not after storeTimeout.
+func TestLostListIsReadAgainSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newOutageStore()
@@ -144,10 +144,10 @@
 		defer cancel()
 		go func() { _ = d.Lead(ctx, leader.NewTerm(1, time.Now()), true) }()
 		time.Sleep(2500 * time.Millisecond)
-		s.set(true)
+		s.setDown(true)
 		time.Sleep(600 * time.Millisecond) // one list is lost in it
 		before := len(s.lists())
-		s.set(false)
+		s.setDown(false)
 		time.Sleep(1200 * time.Millisecond)
 		lists := s.lists()
 		is.True(len(lists) > before)
