--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -56,7 +56,7 @@
 	adviser   order.Adviser // nil: none
 	metrics   tally.Scope
 	keeper    *catalog.Keeper // nil: no configuration
-	onSettled func(dispatch.Settled)
+	onSettled func(dispatch.JobEnded)
 	// evacuations returns which zones are evacuated; nil: none ever is.
 	evacuations func() evacuation.Status
 	// recovered returns a channel that is closed when the store serves this host again.
@@ -81,7 +81,7 @@
 
 // WithOutcomes sets a function that is called for each job that has ended. It must not
 // block.
-func WithOutcomes(f func(dispatch.Settled)) Option { return func(d *Dispatcher) { d.onSettled = f } }
+func WithOutcomes(f func(dispatch.JobEnded)) Option { return func(d *Dispatcher) { d.onSettled = f } }
 
 // WithCatalog sets the keeper of the configuration in force. Without one no account
 // has a guarantee.
@@ -102,13 +102,13 @@
 
 // New returns a dispatcher that does not lead yet.
 func New(s store.Store, l order.Transport, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
-	b.Parts, b.ListAge = Partitions, max(b.DrainTime-startMargin, 3*b.DrainTime/4)
-	d := &Dispatcher{store: s, transport: l, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, onSettled: func(dispatch.Settled) {}, recovered: func() <-chan struct{} { return nil }, log: log}
+	b.Parts, b.MaxListAge = Partitions, max(b.DrainTime-startMargin, 3*b.DrainTime/4)
+	d := &Dispatcher{store: s, transport: l, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, onSettled: func(dispatch.JobEnded) {}, recovered: func() <-chan struct{} { return nil }, log: log}
 	for _, o := range opts {
 		o(d)
 	}
 	if d.evacuations != nil && b.EvacuateTime > 0 {
-		d.bounds.EvacuationAge = max(b.EvacuateTime-startMargin, 3*b.EvacuateTime/4)
+		d.bounds.MaxEvacuationAge = max(b.EvacuateTime-startMargin, 3*b.EvacuateTime/4)
 	}
 	return d
 }
@@ -189,7 +189,7 @@
 		}()
 	}
 	now := l.clock()
-	l.machine.SetWall(l.clock.WallOffset())
+	l.machine.SetWallOffset(l.clock.WallOffset())
 	for i := range Partitions {
 		r := <-results
 		if r.err != nil {
@@ -246,7 +246,7 @@
 	l.setServing(l)
 	l.runEvery(l.bounds.DrainTime/2, listed, l.refreshTargets) // the list is most of what an idle leader reads
 	l.runEvery(scanInterval, l.clock(), l.scan)
-	l.machine.Begin(predecessorEnd, l.clock())
+	l.machine.EnablePlacement(predecessorEnd, l.clock())
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
@@ -254,7 +254,7 @@
 		if l.evacuations != nil {
 			l.machine.SetEvacuated(l.evacuations(), now)
 		}
-		l.machine.SetAhead(l.limiter.MaxPendingStarts())
+		l.machine.SetMaxPendingStarts(l.limiter.MaxPendingStarts())
 		l.machine.SetOrderTime(l.limiter.MeanLatency())
 		for _, c := range l.machine.Decide(now) {
 			l.execute(c, now)
@@ -263,7 +263,7 @@
 			return errNewerTerm
 		}
 		var due <-chan time.Time
-		if at, more := l.machine.Due(now); more {
+		if at, more := l.machine.NextDecision(now); more {
 			due = time.After(max(at.Sub(now), 0))
 		}
 		select {
@@ -274,7 +274,7 @@
 		case <-due:
 		case <-tick.C:
 			l.applyConfig()
-			l.machine.SetWall(l.clock.WallOffset())
+			l.machine.SetWallOffset(l.clock.WallOffset())
 			l.machine.Tick(l.clock())
 			l.updateMetrics()
 		}
@@ -287,7 +287,7 @@
 	c := l.machine.Counts()
 	guaranteed, usable := l.machine.Guarantees()
 	for name, n := range map[string]int{
-		"jobs": c.Jobs, "targets": c.Targets, "targets_held": c.Held, "runs": c.Runs, "steps_waiting": c.Open,
+		"jobs": c.Jobs, "targets": c.Targets, "targets_held": c.Reachable, "runs": c.Runs, "steps_waiting": c.OpenSteps,
 		"zones_evacuated": c.Evacuated, "accelerators_usable": usable, "accelerators_guaranteed": guaranteed,
 	} {
 		l.metrics.Gauge(name).Update(float64(n))
@@ -296,7 +296,7 @@
 	load := l.limiter.Stats()
 	if now := l.clock(); load.Waiting > 0 && now.Sub(l.waitingLoggedAt) >= time.Second {
 		l.waitingLoggedAt = now
-		l.log.Info("orders waiting", "waiting", load.Waiting, "oldestMS", load.LongestWait.Milliseconds(), "limit", load.Limit, "perSecond", int(load.Rate), "delayMS", load.Delay.Milliseconds(), "stepsWaiting", c.Open)
+		l.log.Info("orders waiting", "waiting", load.Waiting, "oldestMS", load.LongestWait.Milliseconds(), "limit", load.Limit, "perSecond", int(load.Rate), "delayMS", load.Delay.Milliseconds(), "stepsWaiting", c.OpenSteps)
 	}
 	l.metrics.Gauge("orders_limit").Update(float64(load.Limit))
 	l.metrics.Gauge("orders_waiting").Update(float64(load.Waiting))
@@ -343,7 +343,7 @@
 		asOf := l.clock()
 		list, err := l.readTargets(l.ctx, storeTimeout)
 		if err == nil {
-			l.machine.Listed(list, asOf, l.clock())
+			l.machine.UpdateTargets(list, asOf, l.clock())
 			return asOf, nil
 		}
 		if l.ctx.Err() != nil {
@@ -425,7 +425,7 @@
 		return err
 	}
 	l.listTimeout = nextListTimeout(l.clock().Sub(asOf))
-	l.post(func(now time.Time) { l.machine.Listed(list, asOf, now) })
+	l.post(func(now time.Time) { l.machine.UpdateTargets(list, asOf, now) })
 	return nil
 }
 
--- a/internal/host/dispatcher/execute.go
+++ b/internal/host/dispatcher/execute.go
@@ -26,11 +26,11 @@
 		l.spawnDetached(func() { l.start(c) })
 	case dispatch.Stop:
 		l.spawnDetached(func() { l.stop(c) })
-	case dispatch.Hold:
+	case dispatch.Poll:
 		l.spawnDetached(func() { l.poll(c) })
 	case dispatch.Save:
 		l.spawn(func() { l.save(c) })
-	case dispatch.Settled:
+	case dispatch.JobEnded:
 		l.onSettled(c)
 	case dispatch.Forget:
 		l.spawn(func() { l.forget(c) })
@@ -54,7 +54,7 @@
 	}
 	status := l.evacuations()
 	age := l.clock().Sub(status.AsOf)
-	return !status.Has(zone) && (l.bounds.EvacuationAge == 0 || age <= l.bounds.EvacuationAge)
+	return !status.Has(zone) && (l.bounds.MaxEvacuationAge == 0 || age <= l.bounds.MaxEvacuationAge)
 }
 
 func (l *leadership) start(c dispatch.Start) {
@@ -123,20 +123,20 @@
 	l.post(func(now time.Time) { l.machine.Advised(c, granted, valid, asked, err, now) })
 }
 
-func (l *leadership) poll(c dispatch.Hold) {
+func (l *leadership) poll(c dispatch.Poll) {
 	rep, err := l.requestReport(c)
 	l.post(func(now time.Time) {
 		if err != nil {
-			l.machine.HoldFailed(c.Target.ID, c, err, now)
+			l.machine.PollFailed(c.Target.ID, c, err, now)
 			return
 		}
-		l.machine.Held(c.Target.ID, c, rep, now)
+		l.machine.Polled(c.Target.ID, c, rep, now)
 	})
 }
 
 // requestReport polls a target for its report. A poll that waits at the target for the
 // end of a run is no load meanwhile, and does not count against the limiter.
-func (l *leadership) requestReport(c dispatch.Hold) (rep order.Report, err error) {
+func (l *leadership) requestReport(c dispatch.Poll) (rep order.Report, err error) {
 	if c.Order.Wait == 0 {
 		_, err = l.send(c.Class, minReportMargin, func(ctx context.Context) (int64, error) {
 			rep, err = l.transport.Poll(ctx, c.Target, c.Order)
@@ -233,13 +233,13 @@
 		l.post(func(time.Time) { l.machine.Depose() })
 		return
 	}
-	found := make([]dispatch.Found, 0, len(c.Rows))
+	found := make([]dispatch.StoredRow, 0, len(c.Rows))
 	same := true
 	for _, r := range c.Rows {
 		row := stored[ProgressKey(c.Part, r.Job)]
 		_, cancelled := stored[CancelKey(c.Part, r.Job)]
 		same = same && bytes.Equal(row.Value, r.Value) && row.Version > r.Version
-		found = append(found, dispatch.Found{Job: r.Job, Version: row.Version, Cancelled: cancelled && r.Completes})
+		found = append(found, dispatch.StoredRow{Job: r.Job, Version: row.Version, Cancelled: cancelled && r.Completes})
 	}
 	if same { // an earlier attempt took effect
 		version := stored[ProgressKey(c.Part, c.Rows[0].Job)].Version
--- a/internal/host/dispatcher/listing_test.go
+++ b/internal/host/dispatcher/listing_test.go
@@ -41,7 +41,7 @@
 		is.True(len(r.calls) > 5)
 		for i := range r.calls[1:] {
 			oldest := r.calls[i+1].Sub(r.calls[i]) + r.latency
-			is.True(oldest <= d.bounds.ListAge) // age of the list that is in use when the next one arrives
+			is.True(oldest <= d.bounds.MaxListAge) // age of the list that is in use when the next one arrives
 		}
 	})
 }
--- a/internal/host/dispatcher/safety_test.go
+++ b/internal/host/dispatcher/safety_test.go
@@ -66,7 +66,7 @@
 		l := newLeadership(rows.New(0), counter, taken, taken.Add(c.after))
 		l.start(dispatch.Start{})
 		l.stop(dispatch.Stop{})
-		l.poll(dispatch.Hold{})
+		l.poll(dispatch.Poll{})
 		l.pace(dispatch.Pace{})
 		is.Equal(*counter, orderCounter{c.sent, c.sent, c.sent, c.sent})
 	}
@@ -127,7 +127,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := newLeadership(rows.New(0), &slowReports{}, time.Now(), time.Now())
-		_, err := l.requestReport(dispatch.Hold{})
+		_, err := l.requestReport(dispatch.Poll{})
 		is.NoErr(err)
 	})
 }
--- a/internal/work/dispatch/pacing_test.go
+++ b/internal/work/dispatch/pacing_test.go
@@ -11,33 +11,33 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-func TestPacedTo(t *testing.T) {
+func TestNextShare(t *testing.T) {
 	is := is.New(t)
-	is.Equal(pacedTo(100, 1.2), 0)  // over the limit: not at all
-	is.Equal(pacedTo(100, 0.9), 50) // near it: half
-	is.Equal(pacedTo(50, 0.7), 50)  // between: as it is
-	is.Equal(pacedTo(50, 0.3), 65)  // well below: a little more
-	is.Equal(pacedTo(95, 0.1), 100) // at most all
-	is.Equal(pacedTo(0, 0.1), 15)   // back from nothing
+	is.Equal(nextShare(100, 1.2), 0)  // over the limit: not at all
+	is.Equal(nextShare(100, 0.9), 50) // near it: half
+	is.Equal(nextShare(50, 0.7), 50)  // between: as it is
+	is.Equal(nextShare(50, 0.3), 65)  // well below: a little more
+	is.Equal(nextShare(95, 0.1), 100) // at most all
+	is.Equal(nextShare(0, 0.1), 15)   // back from nothing
 }
 
-// A task that serves shares its target with one that fills. Its tail nears and
-// passes the limit: the filling one is slowed down, then halted; when the tail is
+// A task that serves shares its target with a best-effort one. Its tail nears and
+// passes the limit: the best-effort one is slowed down, then halted; when the tail is
 // low again it is let on step by step.
-func TestFillingTaskIsPaced(t *testing.T) {
+func TestBestEffortTaskIsPaced(t *testing.T) {
 	is := is.New(t)
-	s := newStanding()
-	serves, fills := graph.JobID("00000000000000ca"), graph.JobID("00000000000000cb")
-	a, b := one(serves, 1), one(fills, 1)
+	s := newFixture()
+	serves, bestEffort := graph.JobID("00000000000000ca"), graph.JobID("00000000000000cb")
+	a, b := testJob(serves, 1), testJob(bestEffort, 1)
 	a.Steps[0].LongRunning, a.Steps[0].TailLimit = true, 100*time.Millisecond
 	b.Steps[0].BestEffortCPU = true
 	s.Restore(a, nil, 0, false, s.now)
 	s.Restore(b, nil, 0, false, s.now)
-	s.Begin(s.now, s.now)
+	s.EnablePlacement(s.now, s.now)
 	tail := func(ms int) []Pace {
 		s.now = s.now.Add(time.Second)
 		s.report(order.Report{Running: []order.Running{
-			{Run: run1(serves, 0, 1), Percent: 100, Gauge: ms}, {Run: run1(fills, 0, 1), Percent: 3, Gauge: 9000},
+			{Run: testRun(serves, 0, 1), Percent: 100, Gauge: ms}, {Run: testRun(bestEffort, 0, 1), Percent: 3, Gauge: 9000},
 		}})
 		return commands[Pace](s)
 	}
@@ -52,17 +52,17 @@
 }
 
 // The order to pace is not answered. It is given again with the next report.
-func TestPaceNotAnswered(t *testing.T) {
+func TestUnansweredPaceIsRepeated(t *testing.T) {
 	is := is.New(t)
-	s := newStanding()
-	serves, fills := graph.JobID("00000000000000cc"), graph.JobID("00000000000000cd")
-	a, b := one(serves, 1), one(fills, 1)
+	s := newFixture()
+	serves, bestEffort := graph.JobID("00000000000000cc"), graph.JobID("00000000000000cd")
+	a, b := testJob(serves, 1), testJob(bestEffort, 1)
 	a.Steps[0].LongRunning, a.Steps[0].TailLimit = true, 100*time.Millisecond
 	b.Steps[0].BestEffortCPU = true
 	s.Restore(a, nil, 0, false, s.now)
 	s.Restore(b, nil, 0, false, s.now)
-	s.Begin(s.now, s.now)
-	rep := order.Report{Running: []order.Running{{Run: run1(serves, 0, 1), Percent: 100, Gauge: 200}, {Run: run1(fills, 0, 1)}}}
+	s.EnablePlacement(s.now, s.now)
+	rep := order.Report{Running: []order.Running{{Run: testRun(serves, 0, 1), Percent: 100, Gauge: 200}, {Run: testRun(bestEffort, 0, 1)}}}
 	s.report(rep)
 	first := commands[Pace](s)
 	is.Equal(len(first), 1)
@@ -73,26 +73,26 @@
 	is.Equal(len(commands[Pace](s)), 1)
 }
 
-// Lasting tasks run on a target that leaves. They are moved one after the other,
+// Long-running tasks run on a target that leaves. They are moved one after the other,
 // as many at a time as their step may miss, and none of the others is stopped.
-func TestLastingTasksMoveInTurn(t *testing.T) {
+func TestLongRunningTasksMoveWithinMaxUnavailable(t *testing.T) {
 	is := is.New(t)
-	d := newDrive(t, 1, 3, DefaultBounds())
+	d := newSimulation(t, 1, 3, DefaultBounds())
 	s := small(6)
 	s.LongRunning, s.MaxUnavailable, s.PerTarget = true, 1, 3
 	id := d.submit(2, time.Hour, s)
 	d.run(time.Second)
-	for _, x := range d.m.byID { // the stand-in's lasting tasks serve at once
+	for _, x := range d.m.sortedTargets { // the stand-in's long-running tasks serve at once
 		for _, r := range x.runs {
 			r.percent = 100
 		}
 	}
-	is.Equal(d.m.jobs[id].steps[0].away(), 0)
-	leaving := d.m.byID[0]
+	is.Equal(d.m.jobs[id].steps[0].unavailable(), 0)
+	leaving := d.m.sortedTargets[0]
 	before := len(leaving.runs)
 	is.True(before >= 2)
 	leaving.Draining = true
-	d.m.moveLasting(leaving, d.now)
+	d.m.moveLongRunning(leaving, d.now)
 	stopped := 0
 	for _, r := range leaving.runs {
 		if r.phase == stopping {
@@ -104,12 +104,12 @@
 
 // Jobs that ended long ago are taken out of the store, and are known until that
 // has happened.
-func TestForget(t *testing.T) {
+func TestForgetRemovesOldJobs(t *testing.T) {
 	is := is.New(t)
-	s := newStanding()
+	s := newFixture()
 	id := graph.JobID("00000000000000ce")
-	s.Restore(one(id, 1), &progress.Job{State: progress.Completed, Ended: s.now.UnixMilli()}, 5, false, s.now)
-	s.Begin(s.now, s.now)
+	s.Restore(testJob(id, 1), &progress.Job{State: progress.Completed, Ended: s.now.UnixMilli()}, 5, false, s.now)
+	s.EnablePlacement(s.now, s.now)
 	s.Tick(s.now)
 	is.Equal(len(commands[Forget](s)), 0)
 	s.now = s.now.Add(DefaultBounds().Retention + forgetSlack + time.Second)
