--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -48,15 +48,15 @@
 
 // Dispatcher schedules all work while its host leads.
 type Dispatcher struct {
-	store     store.Store
-	transport order.Transport
-	roster    Roster
-	bounds    dispatch.Bounds
-	clock     steady.Clock
-	adviser   order.Adviser // nil: none
-	metrics   tally.Scope
-	keeper    *catalog.Keeper // nil: no configuration
-	onSettled func(dispatch.JobEnded)
+	store      store.Store
+	transport  order.Transport
+	roster     Roster
+	bounds     dispatch.Bounds
+	clock      steady.Clock
+	adviser    order.Adviser // nil: none
+	metrics    tally.Scope
+	keeper     *catalog.Keeper // nil: no configuration
+	onJobEnded func(dispatch.JobEnded)
 	// evacuations returns which zones are evacuated; nil: none ever is.
 	evacuations func() evacuation.Status
 	// recovered returns a channel that is closed when the store serves this host again.
@@ -79,9 +79,9 @@
 // WithAdviser sets the advice service.
 func WithAdviser(a order.Adviser) Option { return func(d *Dispatcher) { d.adviser = a } }
 
-// WithOutcomes sets a function that is called for each job that has ended. It must not
+// WithJobEnded sets a function that is called for each job that has ended. It must not
 // block.
-func WithOutcomes(f func(dispatch.JobEnded)) Option { return func(d *Dispatcher) { d.onSettled = f } }
+func WithJobEnded(f func(dispatch.JobEnded)) Option { return func(d *Dispatcher) { d.onJobEnded = f } }
 
 // WithCatalog sets the keeper of the configuration in force. Without one no account
 // has a guarantee.
@@ -101,9 +101,9 @@
 }
 
 // New returns a dispatcher that does not lead yet.
-func New(s store.Store, l order.Transport, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
+func New(s store.Store, t order.Transport, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
 	b.Parts, b.MaxListAge = Partitions, max(b.DrainTime-startMargin, 3*b.DrainTime/4)
-	d := &Dispatcher{store: s, transport: l, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, onSettled: func(dispatch.JobEnded) {}, recovered: func() <-chan struct{} { return nil }, log: log}
+	d := &Dispatcher{store: s, transport: t, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, onJobEnded: func(dispatch.JobEnded) {}, recovered: func() <-chan struct{} { return nil }, log: log}
 	for _, o := range opts {
 		o(d)
 	}
--- a/internal/host/dispatcher/execute.go
+++ b/internal/host/dispatcher/execute.go
@@ -31,7 +31,7 @@
 	case dispatch.Save:
 		l.spawn(func() { l.save(c) })
 	case dispatch.JobEnded:
-		l.onSettled(c)
+		l.onJobEnded(c)
 	case dispatch.Forget:
 		l.spawn(func() { l.forget(c) })
 	case dispatch.Pace:
--- a/internal/host/entry/entry.go
+++ b/internal/host/entry/entry.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	key := dispatcher.JobKey(partOf(j.ID), j.ID)
+	key := dispatcher.JobKey(partitionOf(j.ID), j.ID)
 	again, err := e.commitOnce(ctx, store.Tx{Expect: []store.Expect{{Key: key}}, Put: []store.Put{{Key: key, Value: value}}})
 	if err != nil {
 		return err
@@ -215,7 +215,7 @@
 	if cancelled {
 		return nil
 	}
-	key := dispatcher.CancelKey(partOf(id), id)
+	key := dispatcher.CancelKey(partitionOf(id), id)
 	if _, err := e.commitOnce(ctx, store.Tx{Expect: []store.Expect{{Key: key}}, Put: []store.Put{{Key: key, Value: []byte("{}")}}}); err != nil {
 		return err
 	}
@@ -237,7 +237,7 @@
 func (e *Entry) readJob(ctx context.Context, id graph.JobID) (job store.Row, cancelled bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	key, mark := dispatcher.JobKey(partOf(id), id), dispatcher.CancelKey(partOf(id), id)
+	key, mark := dispatcher.JobKey(partitionOf(id), id), dispatcher.CancelKey(partitionOf(id), id)
 	page, err := e.store.Read(ctx, store.Range{Table: key.Table, Partition: key.Partition, From: key.Name, To: mark.Name + "\x00"})
 	if err != nil {
 		return store.Row{}, false, err
@@ -299,7 +299,7 @@
 		return view.JobStatus{}, err
 	}
 	told := view.JobStatus{State: progress.Queued, Queue: j.Queue, Account: j.Account}
-	saved, err := store.Get(ctx, e.store, dispatcher.ProgressKey(partOf(id), id))
+	saved, err := store.Get(ctx, e.store, dispatcher.ProgressKey(partitionOf(id), id))
 	if err != nil {
 		return view.JobStatus{}, err
 	}
@@ -336,4 +336,4 @@
 	return n, nil
 }
 
-func partOf(id graph.JobID) int { return dispatch.PartOf(id, dispatcher.Partitions) }
+func partitionOf(id graph.JobID) int { return dispatch.PartOf(id, dispatcher.Partitions) }
--- a/internal/host/entry/entry_test.go
+++ b/internal/host/entry/entry_test.go
@@ -179,7 +179,7 @@
 		r := newRig(ErrNotAccepted)
 		r.link.Set(rows.Trouble{Lose: 1})
 		err := r.entry.Submit(ctx, job(someJob, "kiosks"))
-		is.True(r.table.Get(dispatcher.JobKey(partOf(someJob), someJob)).Version > 0) // it took effect
+		is.True(r.table.Get(dispatcher.JobKey(partitionOf(someJob), someJob)).Version > 0) // it took effect
 		is.True(!errors.Is(err, ErrNotAccepted))
 	})
 }
@@ -295,7 +295,7 @@
 				err := r.entry.Submit(ctx, job(someJob, "kiosks"))
 				is.True(errors.Is(err, c.want))
 				is.Equal(errors.Is(err, ErrNotAccepted), c.want == ErrNotAccepted)
-				is.Equal(r.table.Get(dispatcher.JobKey(partOf(someJob), someJob)).Version, int64(0))
+				is.Equal(r.table.Get(dispatcher.JobKey(partitionOf(someJob), someJob)).Version, int64(0))
 			})
 		})
 	}
@@ -308,9 +308,9 @@
 		is := is.New(t)
 		r := newRig(nil)
 		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
-		before := r.table.Get(dispatcher.JobKey(partOf(someJob), someJob)).Version
+		before := r.table.Get(dispatcher.JobKey(partitionOf(someJob), someJob)).Version
 		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
-		is.Equal(r.table.Get(dispatcher.JobKey(partOf(someJob), someJob)).Version, before)
+		is.Equal(r.table.Get(dispatcher.JobKey(partitionOf(someJob), someJob)).Version, before)
 	})
 }
 
--- a/internal/host/station/station.go
+++ b/internal/host/station/station.go
@@ -116,7 +116,7 @@
 	}
 	s.store = store.NewMonitor(store.NewInstrumented(p.Store, set.metrics), leader.RowKey, s.storeChanged)
 	desk := []dispatcher.Option{
-		dispatcher.WithCatalog(s.keeper), dispatcher.WithMetrics(set.metrics), dispatcher.WithOutcomes(s.recordOutcome),
+		dispatcher.WithCatalog(s.keeper), dispatcher.WithMetrics(set.metrics), dispatcher.WithJobEnded(s.recordOutcome),
 		dispatcher.WithEvacuations(s.Evacuations), dispatcher.WithRecovered(s.store.Recovered),
 	}
 	if p.Adviser != nil {
