--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -145,12 +145,12 @@
 	if err := l.restore(); err != nil {
 		return fmt.Errorf("term %d: %w", t.Number(), err)
 	}
-	predecessorEnd := began.Add(d.bounds.Lease + d.bounds.Lease/16 + leader.Grace)
+	predecessorLeasesEnd := began.Add(d.bounds.Lease + d.bounds.Lease/16 + leader.Grace)
 	if clean {
-		predecessorEnd = predecessorEnd.Add(-leader.Grace)
+		predecessorLeasesEnd = predecessorLeasesEnd.Add(-leader.Grace)
 	}
 	d.log.Info("restored", "term", t.Number(), "jobs", l.machine.Counts().Jobs, "tookMS", l.clock().Sub(began).Milliseconds())
-	err := l.run(predecessorEnd)
+	err := l.run(predecessorLeasesEnd)
 	cancel()
 	d.setServing(nil)
 	l.wg.Wait()
@@ -235,8 +235,8 @@
 }
 
 // run is the main loop, which owns the machine.
-// predecessorEnd is when the last lease ends that an earlier leader may have granted.
-func (l *leadership) run(predecessorEnd time.Time) error {
+// predecessorLeasesEnd is when the last lease ends that an earlier leader may have granted.
+func (l *leadership) run(predecessorLeasesEnd time.Time) error {
 	listed, err := l.awaitTargets()
 	if err != nil {
 		return err
@@ -246,7 +246,7 @@
 	l.setServing(l)
 	l.runEvery(l.bounds.DrainTime/2, listed, l.refreshTargets) // the list is most of what an idle leader reads
 	l.runEvery(scanInterval, l.clock(), l.scan)
-	l.machine.EnablePlacement(predecessorEnd, l.clock())
+	l.machine.EnablePlacement(predecessorLeasesEnd, l.clock())
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
--- a/internal/host/entry/doc.go
+++ b/internal/host/entry/doc.go
@@ -1,7 +1,7 @@
-// Package entry takes requests of clients: it stores jobs before it accepts
-// them, stores cancellings, and tells states.
+// Package entry serves requests of clients: it stores jobs before it accepts them,
+// stores cancellations, and returns the states of jobs.
 //
-// A request whose outcome cannot be settled before its deadline is answered as
-// not known: the client asks again with the same id. It is refused as not
-// accepted only if nothing can have been stored.
+// A request whose outcome cannot be determined before its deadline fails with
+// ErrOutcomeUnknown: the client repeats it with the same id. It fails with
+// ErrNotAccepted only if nothing can have been stored.
 package entry
--- a/internal/host/entry/entry.go
+++ b/internal/host/entry/entry.go
@@ -16,54 +16,55 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// Why a request got no positive answer.
+// Errors of requests.
 var (
-	ErrNotAccepted    = errors.New("not accepted, and never will be")
-	ErrOutcomeUnknown = errors.New("not known whether it was stored; ask again with the same id")
+	ErrNotAccepted    = errors.New("not accepted: nothing was stored, and nothing will be")
+	ErrOutcomeUnknown = errors.New("outcome unknown: it may have been stored; repeat the request with the same id")
 	ErrNoJob          = errors.New("no such job")
-	ErrUnavailable    = errors.New("cannot be told now")
+	ErrUnavailable    = errors.New("not available now")
 )
 
-// Figures of an entry.
+// Timeouts and shares of the time that a client allows.
 const (
-	// storeCallTimeout bounds reading from the store, and writing to it over this host's own
-	// way: a hundred times what a call takes on an ordinary day, and short enough
-	// that a peer can be asked after it.
+	// storeCallTimeout bounds reads from the store, and direct writes by this host while
+	// the store is not slow: a hundred times the usual latency of a call, and short enough
+	// for a peer to be tried afterwards.
 	storeCallTimeout = 800 * time.Millisecond
-	// maxSettleTime is how long an entry tries to learn what became of a write.
-	// Then the client is told that it is not known, and asks another host.
+	// maxSettleTime bounds how long the outcome of a write is waited for. After it the
+	// client gets ErrOutcomeUnknown, and can try another host.
 	maxSettleTime = 1300 * time.Millisecond
-	// settleShare is the share of a client's time that an entry spends on it at most:
-	// with the rest, the client can ask another host.
+	// settleShare is the largest share of a client's time that is spent on waiting for the
+	// outcome: the rest is left for the client to try another host.
 	settleShare = 0.4
-	// slowSettleShare is the same while the store is slow. Another host has the same store,
-	// and each write that is made again waits in the same line as the first: a request
-	// is best left to the one call that is on its way.
+	// slowSettleShare is the same while the store is slow. Other hosts use the same store,
+	// and each repeated write waits in the same queue as the first: it is best to wait for
+	// the call that is in flight.
 	slowSettleShare  = 0.85
-	notifyTimeout    = time.Second // bounds telling the leader; it scans the store, too
+	notifyTimeout    = time.Second // of notifying the leader, which also scans the store
 	notifyRetryDelay = 50 * time.Millisecond
-	// cancelNotifyWait is how long an answer to a cancelling waits until the leader knows of
-	// it, so that whoever reads the job next, at any host, finds it cancelled. It is
-	// many times a round trip between hosts; a leader that is lost costs no more.
+	// cancelNotifyWait is how long the answer to a cancellation waits for the notification
+	// of the leader, so that a read of the job right after it, at any host, finds it
+	// cancelled. It is many round trips between hosts, and bounds the delay if there is no
+	// leader.
 	cancelNotifyWait = 100 * time.Millisecond
 )
 
-// Leader is asked and told about jobs.
+// Leader is notified of jobs and answers for them.
 type Leader interface {
 	Submitted(ctx context.Context, j *graph.Job) error
 	Cancelled(ctx context.Context, id graph.JobID) error
-	State(ctx context.Context, id graph.JobID) (told view.JobStatus, known bool, err error)
+	State(ctx context.Context, id graph.JobID) (status view.JobStatus, known bool, err error)
 	Pending(ctx context.Context, queue string) (int, error)
 }
 
-// Relay has another host store what this one cannot. Its errors wrap
-// ErrNotAccepted, ErrNotKnown or ErrNoJob.
+// Relay passes requests that this host cannot store to another host. Its errors wrap
+// ErrNotAccepted, ErrOutcomeUnknown or ErrNoJob.
 type Relay interface {
 	RelaySubmit(ctx context.Context, j *graph.Job) error
 	RelayCancel(ctx context.Context, id graph.JobID, by Caller) error
 }
 
-// Entry serves requests.
+// Entry serves requests of clients.
 type Entry struct {
 	store  *store.Monitor
 	leader Leader
@@ -76,9 +77,9 @@
 	return &Entry{store: s, leader: l, relay: r, log: log}
 }
 
-// Submit stores a job, unless it is stored already, and tells the leader. What
-// the store does not take from this host another one hands in. The error wraps
-// graph.ErrInvalid, ErrNotAccepted or ErrNotKnown.
+// Submit stores a job, unless it is stored already, and notifies the leader. If this host
+// cannot store it, a peer is tried. The error wraps graph.ErrInvalid, ErrNotAccepted or
+// ErrOutcomeUnknown.
 func (e *Entry) Submit(ctx context.Context, j *graph.Job) error {
 	if err := j.Validate(); err != nil {
 		return err
@@ -94,42 +95,42 @@
 		e.log.Info("job not stored", "job", j.ID, "queue", j.Queue, "account", j.Account, "storeSlow", true, "error", err.Error())
 		return err
 	}
-	other := e.relay.RelaySubmit(ctx, j)
-	if other == nil {
+	relayErr := e.relay.RelaySubmit(ctx, j)
+	if relayErr == nil {
 		e.log.Info("job stored by a peer", "job", j.ID, "queue", j.Queue, "account", j.Account, "here", err.Error())
 		return nil
 	}
-	err = joinErrors(err, other)
+	err = joinErrors(err, relayErr)
 	e.log.Info("job not stored", "job", j.ID, "queue", j.Queue, "account", j.Account, "error", err.Error())
 	return err
 }
 
-// settleTimeout returns how long a request may take to settle, by the time that its client
-// gives it and whether the store is slow.
+// settleTimeout returns how long the outcome of a request is waited for, by the client's
+// deadline and whether the store is slow.
 func settleTimeout(ctx context.Context, slow bool) time.Duration {
-	until, limited := ctx.Deadline()
+	deadline, limited := ctx.Deadline()
 	switch {
 	case !limited:
 		return maxSettleTime
 	case slow:
-		return time.Duration(slowSettleShare * float64(time.Until(until)))
+		return time.Duration(slowSettleShare * float64(time.Until(deadline)))
 	}
-	return min(maxSettleTime, time.Duration(settleShare*float64(time.Until(until))))
+	return min(maxSettleTime, time.Duration(settleShare*float64(time.Until(deadline))))
 }
 
-// storeSlow reports whether calls to the store take so long that one more does harm.
+// storeSlow reports whether the store is so slow that repeated calls would do harm.
 func (e *Entry) storeSlow() bool { return e.store.TypicalLatency() >= slowStoreLatency }
 
-// joinErrors joins what two hosts could not do: nothing was stored only if both say
-// so.
-func joinErrors(here, there error) error {
-	if errors.Is(here, ErrNotAccepted) && !errors.Is(there, ErrNotAccepted) {
-		return fmt.Errorf("%w (here: %s)", there, here.Error())
+// joinErrors joins the errors of this host and of a peer. The result is ErrNotAccepted
+// only if both are.
+func joinErrors(own, relayErr error) error {
+	if errors.Is(own, ErrNotAccepted) && !errors.Is(relayErr, ErrNotAccepted) {
+		return fmt.Errorf("%w (this host: %s)", relayErr, own.Error())
 	}
-	return fmt.Errorf("%w (peer: %s)", here, there.Error())
+	return fmt.Errorf("%w (peer: %s)", own, relayErr.Error())
 }
 
-// SubmitHere stores a job over this host's own way to the store.
+// SubmitHere stores a job by a direct call from this host to the store.
 func (e *Entry) SubmitHere(ctx context.Context, j *graph.Job) error {
 	value, err := dispatcher.EncodeJob(j)
 	if err != nil {
@@ -147,12 +148,12 @@
 	return nil
 }
 
-// errStoreDown says that a call was not made since the last ones failed.
+// errStoreDown is returned for a call that was not made because earlier ones failed.
 var errStoreDown = errors.New("the store does not serve this host now")
 
-// notifyLeader tells the leader, again while nobody leads: in a takeover the next leader would
-// else find the job a second later, by its scan.
-func (e *Entry) notifyLeader(ctx context.Context, what string, id graph.JobID, f func(ctx context.Context) error) {
+// notifyLeader calls f until it succeeds or notifyTimeout has passed. In a takeover the
+// next leader would otherwise find the job only by its scan, up to a second later.
+func (e *Entry) notifyLeader(ctx context.Context, step string, id graph.JobID, f func(ctx context.Context) error) {
 	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	for {
@@ -163,26 +164,26 @@
 		select {
 		case <-time.After(notifyRetryDelay):
 		case <-ctx.Done():
-			e.log.Info("leader not told", "job", id, "step", what, "error", err.Error())
+			e.log.Info("leader not notified", "job", id, "step", step, "error", err.Error())
 			return
 		}
 	}
 }
 
-// Caller is who asks about a job that is there already.
+// Caller is the client or operator that asks about a stored job.
 type Caller struct {
 	Account  string `json:"account,omitempty"`
 	Operator bool   `json:"operator,omitempty"` // may see and cancel the jobs of every account
 }
 
-// MayAccess reports whether the jobs of an account are the caller's to see and cancel.
-// Those of no account are everybody's.
+// MayAccess reports whether the caller may see and cancel the jobs of an account. Jobs
+// without an account are open to everybody.
 func (c Caller) MayAccess(account string) bool {
 	return c.Operator || account == "" || account == c.Account
 }
 
-// Cancel stores that a job is cancelled, and tells the leader. The error wraps
-// ErrNoJob, also for a job that is not the caller's, or ErrNoAnswer.
+// Cancel stores that a job is cancelled, and notifies the leader. The error wraps ErrNoJob,
+// also for a job that the caller may not access, or ErrUnavailable.
 func (e *Entry) Cancel(ctx context.Context, id graph.JobID, by Caller) error {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout(ctx, e.storeSlow()))
 	defer cancel()
@@ -190,13 +191,13 @@
 	if err == nil || errors.Is(err, ErrNoJob) {
 		return err
 	}
-	if other := e.relay.RelayCancel(ctx, id, by); other == nil || errors.Is(other, ErrNoJob) {
-		return other
+	if relayErr := e.relay.RelayCancel(ctx, id, by); relayErr == nil || errors.Is(relayErr, ErrNoJob) {
+		return relayErr
 	}
 	return fmt.Errorf("%w: %w", ErrUnavailable, err)
 }
 
-// CancelHere stores a cancelling over this host's own way to the store.
+// CancelHere stores a cancellation by a direct call from this host to the store.
 func (e *Entry) CancelHere(ctx context.Context, id graph.JobID, by Caller) error {
 	if !e.store.Up() {
 		return fmt.Errorf("%w: %w", ErrNotAccepted, errStoreDown)
@@ -208,7 +209,7 @@
 	case row.Version == 0:
 		return ErrNoJob
 	}
-	// A row that cannot be read belongs to nobody that could be asked.
+	// A row that cannot be decoded names no account: anyone may cancel the job.
 	if j, err := dispatcher.DecodeJob(row.Value); err == nil && !by.MayAccess(j.Account) {
 		return ErrNoJob
 	}
@@ -219,55 +220,54 @@
 	if _, err := e.commitOnce(ctx, store.Tx{Expect: []store.Expect{{Key: key}}, Put: []store.Put{{Key: key, Value: []byte("{}")}}}); err != nil {
 		return err
 	}
-	e.log.Info("cancelling stored", "job", id)
-	told := make(chan struct{})
+	e.log.Info("cancellation stored", "job", id)
+	notified := make(chan struct{})
 	go func() {
-		defer close(told)
+		defer close(notified)
 		e.notifyLeader(context.WithoutCancel(ctx), "cancelled", id, func(ctx context.Context) error { return e.leader.Cancelled(ctx, id) })
 	}()
 	select {
-	case <-told:
+	case <-notified:
 	case <-time.After(cancelNotifyWait):
 	}
 	return nil
 }
 
 // readJob returns a job's row, with version 0 if there is none, and whether its
-// cancelling is stored.
+// cancellation is stored.
 func (e *Entry) readJob(ctx context.Context, id graph.JobID) (job store.Row, cancelled bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	key, mark := dispatcher.JobKey(partitionOf(id), id), dispatcher.CancelKey(partitionOf(id), id)
-	page, err := e.store.Read(ctx, store.Range{Table: key.Table, Partition: key.Partition, From: key.Name, To: mark.Name + "\x00"})
+	jobKey, cancelKey := dispatcher.JobKey(partitionOf(id), id), dispatcher.CancelKey(partitionOf(id), id)
+	page, err := e.store.Read(ctx, store.Range{Table: jobKey.Table, Partition: jobKey.Partition, From: jobKey.Name, To: cancelKey.Name + "\x00"})
 	if err != nil {
 		return store.Row{}, false, err
 	}
 	for _, r := range page.Rows {
 		switch r.Key.Name {
-		case key.Name:
+		case jobKey.Name:
 			job = r
-		case mark.Name:
+		case cancelKey.Name:
 			cancelled = true
 		}
 	}
 	return job, cancelled, nil
 }
 
-// State returns what to tell of a job: as the leader knows it, else as the store
-// has it. The error wraps ErrNoJob, also for a job that is not the caller's, or
-// ErrNoAnswer.
+// State returns the status of a job as the leader knows it, or else as it is stored. The
+// error wraps ErrNoJob, also for a job that the caller may not access, or ErrUnavailable.
 func (e *Entry) State(ctx context.Context, id graph.JobID, by Caller) (view.JobStatus, error) {
-	told, err := e.lookUpState(ctx, id)
-	if err == nil && !by.MayAccess(told.Account) {
+	status, err := e.lookUpState(ctx, id)
+	if err == nil && !by.MayAccess(status.Account) {
 		return view.JobStatus{}, ErrNoJob
 	}
-	return told, err
+	return status, err
 }
 
 func (e *Entry) lookUpState(ctx context.Context, id graph.JobID) (view.JobStatus, error) {
-	told, known, leaderErr := e.leader.State(ctx, id)
+	status, known, leaderErr := e.leader.State(ctx, id)
 	if leaderErr == nil && known {
-		return told, nil
+		return status, nil
 	}
 	if leaderErr == nil {
 		leaderErr = errLeaderUnknownJob
@@ -275,17 +275,17 @@
 	if !e.store.Up() {
 		return view.JobStatus{}, fmt.Errorf("%w: %w (leader: %w)", ErrUnavailable, errStoreDown, leaderErr)
 	}
-	told, err := e.storedState(ctx, id)
+	status, err := e.storedState(ctx, id)
 	if err != nil && !errors.Is(err, ErrNoJob) {
 		return view.JobStatus{}, fmt.Errorf("%w: %w (leader: %w)", ErrUnavailable, err, leaderErr)
 	}
-	return told, err
+	return status, err
 }
 
-// errLeaderUnknownJob says that the leader answered, and does not know the job.
+// errLeaderUnknownJob stands for the answer of a leader that does not know the job.
 var errLeaderUnknownJob = errors.New("it does not know the job")
 
-// storedState returns what the rows of a job say.
+// storedState returns the status of a job by its rows.
 func (e *Entry) storedState(ctx context.Context, id graph.JobID) (view.JobStatus, error) {
 	row, cancelled, err := e.readJob(ctx, id)
 	if err != nil {
@@ -298,7 +298,7 @@
 	if err != nil {
 		return view.JobStatus{}, err
 	}
-	told := view.JobStatus{State: progress.Queued, Queue: j.Queue, Account: j.Account}
+	status := view.JobStatus{State: progress.Queued, Queue: j.Queue, Account: j.Account}
 	saved, err := store.Get(ctx, e.store, dispatcher.ProgressKey(partitionOf(id), id))
 	if err != nil {
 		return view.JobStatus{}, err
@@ -309,12 +309,12 @@
 			return view.JobStatus{}, err
 		}
 	}
-	told.State = stateOf(p.State, p.Started, cancelled)
-	return told, nil
+	status.State = stateOf(p.State, p.Started, cancelled)
+	return status, nil
 }
 
-// stateOf returns what to tell of a job: a final state that was saved stands,
-// since a cancelling that came later changes nothing.
+// stateOf returns the state that clients see of a job. A final state that was saved
+// stands: a later cancellation has no effect.
 func stateOf(s progress.State, started, cancelled bool) progress.State {
 	switch {
 	case s.Final():
--- a/internal/host/entry/entry_test.go
+++ b/internal/host/entry/entry_test.go
@@ -23,24 +23,24 @@
 )
 
 const (
-	storeCost = 5 * time.Millisecond
-	someJob   = graph.JobID("00000000000000aa")
+	storeLatency = 5 * time.Millisecond
+	someJob      = graph.JobID("00000000000000aa")
 )
 
 var errNoLeader = errors.New("no leader")
 
-// fakeLeader is a leader that takes a while to hear, or is gone.
+// fakeLeader is a leader that answers after a while, or not at all.
 type fakeLeader struct {
-	latency    time.Duration
-	gone       bool
-	notLeading atomic.Int32 // so many calls find nobody who leads
-	notified   atomic.Int32 // calls that reached it
-	cancelled  map[graph.JobID]bool
-	known      map[graph.JobID]view.JobStatus
+	latency     time.Duration
+	unreachable bool
+	notLeading  atomic.Int32 // so many calls fail with ErrNotLeading
+	notified    atomic.Int32 // notifications that arrived
+	cancelled   map[graph.JobID]bool
+	known       map[graph.JobID]view.JobStatus
 }
 
 func (l *fakeLeader) notify(ctx context.Context) error {
-	if l.gone {
+	if l.unreachable {
 		<-ctx.Done()
 		return errNoLeader
 	}
@@ -63,7 +63,7 @@
 }
 
 func (l *fakeLeader) State(_ context.Context, id graph.JobID) (view.JobStatus, bool, error) {
-	if l.gone {
+	if l.unreachable {
 		return view.JobStatus{}, false, errNoLeader
 	}
 	t, known := l.known[id]
@@ -72,11 +72,11 @@
 
 func (l *fakeLeader) Pending(context.Context, string) (int, error) { return 0, nil }
 
-// fakeRelay is a relay without peers.
+// fakeRelay is a relay whose calls return err.
 type fakeRelay struct{ err error }
 
-func (a fakeRelay) RelaySubmit(context.Context, *graph.Job) error          { return a.err }
-func (a fakeRelay) RelayCancel(context.Context, graph.JobID, Caller) error { return a.err }
+func (r fakeRelay) RelaySubmit(context.Context, *graph.Job) error          { return r.err }
+func (r fakeRelay) RelayCancel(context.Context, graph.JobID, Caller) error { return r.err }
 
 type rig struct {
 	table  *rows.Table
@@ -86,7 +86,7 @@
 }
 
 func newRig(peer error) *rig {
-	t := rows.New(storeCost)
+	t := rows.New(storeLatency)
 	l := rows.NewLink(t, rand.New(rand.NewPCG(1, 2)))
 	r := &rig{table: t, link: l, leader: &fakeLeader{cancelled: map[graph.JobID]bool{}, known: map[graph.JobID]view.JobStatus{}}}
 	r.entry = New(store.NewMonitor(l, dispatcher.JobKey(0, someJob), func(bool, error) {}), r.leader, fakeRelay{peer}, logr.Discard())
@@ -105,10 +105,10 @@
 	kiosks = Caller{Account: "kiosks"}
 )
 
-// A job is stored while one leader hands over to the next: the host asks one that leads no
-// more. The next one heard of the job by its scan only, up to a second later, and an urgent
-// job had lost half of its slack.
-func TestNextLeaderIsToldOfAJobFromATakeover(t *testing.T) {
+// A job is stored during a takeover, and the host notifies a host that does not lead any
+// more. If the notification were not repeated, the next leader would find the job only by
+// its scan, up to a second later: half of the slack of an urgent job.
+func TestNextLeaderIsNotifiedOfJobFromTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(nil)
@@ -121,10 +121,10 @@
 	})
 }
 
-// A client cancels a job at one host and reads it at another one, which asks the
-// leader. If the answer to the cancelling went out before the leader had heard of
-// it, the client would read that the job still runs.
-func TestCancelIsKnownToTheLeaderWhenAnswered(t *testing.T) {
+// A client cancels a job at one host and reads its state at another, which asks the
+// leader. If the cancellation were answered before the leader is notified, the client
+// would read that the job still runs.
+func TestCancelIsKnownToLeaderWhenAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(nil)
@@ -135,27 +135,28 @@
 	})
 }
 
-// A leader that has gone does not hold up the answer to a cancelling: it is
-// stored, and the next leader reads it.
+// A missing leader does not hold up the answer to a cancellation: it is stored, and the
+// next leader reads it.
 func TestCancelWithoutLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(nil)
 		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
-		synctest.Wait() // the leader has heard of the job
-		r.leader.gone = true
+		synctest.Wait() // until the leader is notified of the job
+		r.leader.unreachable = true
 		began := time.Now()
 		is.NoErr(r.entry.Cancel(ctx, someJob, kiosks))
-		is.True(time.Since(began) < cancelNotifyWait+10*storeCost)
-		told, err := r.entry.State(ctx, someJob, kiosks)
+		is.True(time.Since(began) < cancelNotifyWait+10*storeLatency)
+		status, err := r.entry.State(ctx, someJob, kiosks)
 		is.NoErr(err)
-		is.Equal(told.State, progress.Cancelled)
-		time.Sleep(notifyTimeout) // the leader is given up on
+		is.Equal(status.State, progress.Cancelled)
+		time.Sleep(notifyTimeout) // the notification is given up
 	})
 }
 
-// Another account's job is as one that is not there, and stays as it is.
-func TestOthersJobs(t *testing.T) {
+// To a caller, another account's job looks as if it did not exist, and it cannot be
+// cancelled.
+func TestJobsOfOtherAccounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(nil)
@@ -163,17 +164,17 @@
 		_, err := r.entry.State(ctx, someJob, Caller{Account: "salons"})
 		is.True(errors.Is(err, ErrNoJob))
 		is.True(errors.Is(r.entry.Cancel(ctx, someJob, Caller{Account: "salons"}), ErrNoJob))
-		told, err := r.entry.State(ctx, someJob, Caller{Operator: true})
+		status, err := r.entry.State(ctx, someJob, Caller{Operator: true})
 		is.NoErr(err)
-		is.Equal(told.State, progress.Queued)
+		is.Equal(status.State, progress.Queued)
 		_, err = r.entry.State(ctx, "00000000000000bb", kiosks)
 		is.True(errors.Is(err, ErrNoJob))
 	})
 }
 
-// The store loses the answer to a write that took effect. The client is told that
-// the job was taken: a refusal would not be true.
-func TestSubmitSettlesALostAnswer(t *testing.T) {
+// The store loses the answer to a write that took effect. The submission must not fail
+// with ErrNotAccepted.
+func TestSubmitSettlesLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(ErrNotAccepted)
@@ -184,9 +185,9 @@
 	})
 }
 
-// The leader answers that it does not know a job, and the store is away. The error that
-// operators read says both.
-func TestStateErrorNamesBothWays(t *testing.T) {
+// The leader does not know a job, and the store is unavailable. The error that operators
+// read names both.
+func TestStateErrorNamesBothCauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(ErrNotAccepted)
@@ -198,10 +199,10 @@
 	})
 }
 
-// The store takes each write and loses most of the answers. A client is not told to
-// wait for a time-out or that nothing is known: the write is made again at once, and
-// the conflict says that it took effect.
-func TestSubmitOverALossyStore(t *testing.T) {
+// The store applies each write and loses most of the answers. A submission neither waits
+// for a timeout nor fails with ErrOutcomeUnknown: the write is repeated soon, and the
+// conflict shows that it took effect.
+func TestSubmitOverLossyStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(ErrNotAccepted)
@@ -214,57 +215,56 @@
 	})
 }
 
-// A client that has little time left is answered while it can still ask another
-// host.
-func TestSubmitLeavesTheClientTime(t *testing.T) {
+// A client with a short deadline is answered while it still has time to try another host.
+func TestSubmitLeavesClientTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(ErrNotAccepted)
 		r.link.Set(rows.Trouble{Silent: true})
-		hurried, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
+		shortCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		err := r.entry.Submit(hurried, job(someJob, "kiosks"))
+		err := r.entry.Submit(shortCtx, job(someJob, "kiosks"))
 		is.True(errors.Is(err, ErrOutcomeUnknown))
 		is.True(time.Since(began) <= 200*time.Millisecond)
 	})
 }
 
-// The store has become two hundred times slower, and each part takes one write at a
-// time. A call that is given up on is made again by another host, and by the client, and
-// each of these waits in the same line: users would see every second request answered
-// with "not known", and no end of it. So the one call that is on its way is waited for.
-func TestSlowStoreIsWaitedFor(t *testing.T) {
+// The store is two hundred times slower than usual, and each partition applies one write
+// at a time. A call that is given up would be repeated by another host and by the client,
+// and all of these would wait in the same queue: every second request would fail with
+// ErrOutcomeUnknown, without end. So the call in flight is waited for.
+func TestSlowStoreIsAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(errors.New("a peer was asked"))
+		r := newRig(errors.New("a peer was called"))
 		r.link.Set(rows.Trouble{Slow: time.Second})
-		_, _ = r.entry.store.Read(ctx, store.Range{Table: "any"}) // so that the host knows
-		patient, cancel := context.WithTimeout(ctx, 3*time.Second)
+		_, _ = r.entry.store.Read(ctx, store.Range{Table: "any"}) // so that the host measures the latency
+		slowCtx, cancel := context.WithTimeout(ctx, 3*time.Second)
 		defer cancel()
 		began := time.Now()
-		is.NoErr(r.entry.Submit(patient, job(someJob, "kiosks")))
+		is.NoErr(r.entry.Submit(slowCtx, job(someJob, "kiosks")))
 		is.True(time.Since(began) < 1500*time.Millisecond)
 		r.link.Set(rows.Trouble{Slow: 5 * time.Second})
-		impatient, cancel := context.WithTimeout(ctx, 3*time.Second)
+		slowerCtx, cancel := context.WithTimeout(ctx, 3*time.Second)
 		defer cancel()
 		began = time.Now()
-		err := r.entry.Submit(impatient, job("00000000000000ab", "kiosks"))
+		err := r.entry.Submit(slowerCtx, job("00000000000000ab", "kiosks"))
 		is.True(errors.Is(err, ErrOutcomeUnknown))
-		is.True(time.Since(began) < 2700*time.Millisecond) // in time for the client
+		is.True(time.Since(began) < 2700*time.Millisecond) // before the client's deadline
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// The store does not answer at all. The host finds that out by itself, and refuses
-// requests at once then; it takes them soon after the store is back.
-func TestSilentStoreIsFoundOut(t *testing.T) {
+// The store does not answer at all. The host detects this by itself and refuses requests
+// at once; it accepts them again soon after the store recovers.
+func TestSilentStoreIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(ErrNotAccepted)
-		following, end := context.WithCancel(ctx)
+		running, end := context.WithCancel(ctx)
 		defer end()
-		go r.entry.store.Run(following)
+		go r.entry.store.Run(running)
 		time.Sleep(5 * time.Second)
 		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
 		r.link.Set(rows.Trouble{Silent: true})
@@ -279,13 +279,13 @@
 	})
 }
 
-// A refusal by the store is final if no earlier try may still take effect and the
-// peers could not store the job either.
+// A refusal by the store is final if no earlier attempt can still take effect and no peer
+// could store the job either.
 func TestSubmitRefused(t *testing.T) {
 	for name, c := range map[string]struct{ peer, want error }{
-		"nobody stores":       {ErrNotAccepted, ErrNotAccepted},
-		"the peer stored it":  {nil, nil},
-		"the peer cannot say": {ErrOutcomeUnknown, ErrOutcomeUnknown},
+		"peer refuses":               {ErrNotAccepted, ErrNotAccepted},
+		"peer stores the job":        {nil, nil},
+		"peer does not know outcome": {ErrOutcomeUnknown, ErrOutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -301,7 +301,7 @@
 	}
 }
 
-// The same request again, at any host, is the same job: it is taken, not stored
+// A repeated request, at any host, is the same job: it is accepted, and not stored
 // twice.
 func TestSubmitAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -314,10 +314,10 @@
 	})
 }
 
-// What the rows of a job say is told when no leader answers.
+// The state of a job by its rows, which clients see when no leader answers.
 func TestStateOf(t *testing.T) {
 	is := is.New(t)
-	is.Equal(stateOf(progress.Completed, true, true), progress.Completed) // a cancelling that came later changes nothing
+	is.Equal(stateOf(progress.Completed, true, true), progress.Completed) // a later cancellation has no effect
 	is.Equal(stateOf(progress.Queued, true, true), progress.Cancelled)
 	is.Equal(stateOf(progress.Queued, true, false), progress.Running)
 	is.Equal(stateOf(progress.Queued, false, false), progress.Queued)
--- a/internal/host/entry/write.go
+++ b/internal/host/entry/write.go
@@ -9,42 +9,43 @@
 	"guavaglade.example/guavaglade/internal/platform/store"
 )
 
-// Figures of writing a row that is written once.
+// Delays and thresholds of writing a row.
 const (
-	// minOverdue is after how long a call without an answer counts as overdue at the
-	// least: ten times what one takes on an ordinary day.
+	// minOverdue is the shortest time after which a call without an answer is overdue: ten
+	// times the usual latency.
 	minOverdue = 120 * time.Millisecond
-	// overdueFactor is how many times what calls take lately that is.
+	// overdueFactor is the same as a multiple of the current latency.
 	overdueFactor = 3
-	// retryDelay is the time between a call that failed and the next.
+	// retryDelay is the time between a failed call and the next.
 	retryDelay = 100 * time.Millisecond
-	// slowStoreLatency is what calls take to a store that is slow: writes wait for each
-	// other there, and one that is made again keeps others from being made at all.
+	// slowStoreLatency is the latency from which the store counts as slow: writes queue
+	// there, and a repeated write would keep others from being made at all.
 	slowStoreLatency = 60 * time.Millisecond
 )
 
-// overdue returns after how long a call without an answer counts as overdue.
+// overdue returns the time after which a call without an answer is overdue.
 func (e *Entry) overdue() time.Duration {
 	return max(minOverdue, overdueFactor*e.store.TypicalLatency())
 }
 
-// pendingWrite is a transaction that can take effect only once, on its way.
+// pendingWrite is a transaction that can take effect only once and whose outcome is not
+// known yet.
 type pendingWrite struct {
 	entry          *Entry
 	tx             store.Tx
 	answers        chan error
 	outstanding    int  // calls without an answer yet
-	mayHaveApplied bool // a call may have taken effect, or still take it
+	mayHaveApplied bool // a call may have taken effect, or may still do so
 	lastErr        error
 }
 
-// commitOnce makes a transaction that can take effect only once, until it is known
-// whether it did. again tells that an earlier one has.
+// commitOnce commits a transaction that can take effect only once, and repeats it until
+// the outcome is known. again reports that an earlier one had taken effect.
 //
-// A store that takes writes and loses their answers would have each client wait for
-// a time-out. While a call is overdue, its row is looked for; if it is not there, the
-// call is made again, unless the store is slow: as the rows must not be there yet,
-// only one of them takes effect, and a conflict says that one has.
+// With a store that applies writes and loses the answers, each client would wait for a
+// timeout. So the row of an overdue call is read; if it is not there, the call is
+// repeated, unless the store is slow. As the transaction expects no row, only one call
+// takes effect, and a conflict shows that one has.
 func (e *Entry) commitOnce(ctx context.Context, tx store.Tx) (again bool, err error) {
 	if !e.store.Up() {
 		return false, fmt.Errorf("%w: %w", ErrNotAccepted, errStoreDown)
@@ -60,7 +61,7 @@
 	for {
 		select {
 		case err := <-w.answers:
-			if over, again, err := w.handleAnswer(err); over {
+			if settled, again, err := w.handleAnswer(err); settled {
 				return again, err
 			}
 			next = time.After(retryDelay)
@@ -78,7 +79,7 @@
 	}
 }
 
-// commit makes the transaction once more.
+// commit starts a call that commits the transaction.
 func (w *pendingWrite) commit(ctx context.Context) {
 	w.outstanding++
 	go func() {
@@ -87,8 +88,8 @@
 	}()
 }
 
-// checkRow looks for the row of a call that is overdue, and makes the call once more if
-// it is not there.
+// checkRow reads the row of an overdue call, and repeats the call if the row is not there
+// and the store is not slow.
 func (w *pendingWrite) checkRow(ctx context.Context) {
 	w.outstanding++
 	go func() {
@@ -99,7 +100,7 @@
 		case err == nil && !w.entry.storeSlow():
 			_, err = w.entry.store.Commit(ctx, w.tx)
 		case err == nil:
-			err = fmt.Errorf("%w: overdue, and not there yet", store.ErrOutcomeUnknown)
+			err = fmt.Errorf("%w: commit overdue, row not there yet", store.ErrOutcomeUnknown)
 		}
 		w.answer(ctx, err)
 	}()
@@ -108,12 +109,12 @@
 func (w *pendingWrite) answer(ctx context.Context, err error) {
 	select {
 	case w.answers <- err:
-	case <-ctx.Done(): // nobody waits any more
+	case <-ctx.Done(): // the caller has given up
 	}
 }
 
-// handleAnswer takes in an answer, and tells whether it settles the matter.
-func (w *pendingWrite) handleAnswer(err error) (over, again bool, result error) {
+// handleAnswer records the answer of a call, and reports whether the outcome is settled.
+func (w *pendingWrite) handleAnswer(err error) (settled, again bool, result error) {
 	w.outstanding--
 	w.lastErr = err
 	switch {
