--- a/internal/host/entry/entry.go
+++ b/internal/host/entry/entry.go
@@ -18,8 +18,8 @@
 
 // Errors of requests.
 var (
-	ErrNotAccepted    = errors.New("not accepted: nothing was stored, and nothing will be")
-	ErrOutcomeUnknown = errors.New("outcome unknown: it may have been stored; repeat the request with the same id")
+	ErrNotAccepted    = errors.New("not accepted; nothing was or will be stored")
+	ErrOutcomeUnknown = errors.New("outcome unknown; repeat the request with the same id")
 	ErrNoJob          = errors.New("no such job")
 	ErrUnavailable    = errors.New("not available now")
 )
