--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -22,48 +22,48 @@
 	"guavaglade.example/guavaglade/internal/work/dispatch"
 )
 
-// Figures of the shell.
+// Intervals, timeouts and sizes.
 const (
-	tickEvery  = 100 * time.Millisecond // the finest bound that decisions keep is a retry after 200 ms
-	adviceTime = 5 * time.Second        // bounds a call for advice, which takes its time for each target that it names
-	startSpare = 200 * time.Millisecond // what a start takes to arrive, of the time in which a draining target may get work
-	scanEvery  = time.Second            // for jobs whose message was lost
-	storeTime  = 2 * time.Second        // bounds a call to the store
-	storePause = 150 * time.Millisecond // between two tries
-	holdExtra  = 600 * time.Millisecond // bounds a report beyond the time that it waits
-	backlog    = 4096                   // events that wait for the loop
-	// leastListing and listFactor: how long a list of targets is waited for at least, and
-	// as a multiple of what the last one took.
-	leastListing = 500 * time.Millisecond
-	listFactor   = 4
+	tickInterval    = 100 * time.Millisecond // the shortest delay that decisions keep is a retry after 200 ms
+	adviceTimeout   = 5 * time.Second        // of a call for advice, which takes longer the more targets it names
+	startMargin     = 200 * time.Millisecond // for a start to arrive, out of the time in which a draining target may get work
+	scanInterval    = time.Second            // of the scan for jobs whose notification was lost
+	storeTimeout    = 2 * time.Second        // of a call to the store
+	storeRetryDelay = 150 * time.Millisecond // between two attempts
+	minReportMargin = 600 * time.Millisecond // for a report to arrive, beyond the time that the poll waits at the target
+	maxQueuedEvents = 4096                   // events that wait for the main loop
+	// minListTimeout and listTimeoutFactor set the timeout of reading the list of targets:
+	// a multiple of what the last read took, with a minimum.
+	minListTimeout    = 500 * time.Millisecond
+	listTimeoutFactor = 4
 )
 
-// Roster lists the targets that are registered.
+// Roster lists the registered targets.
 type Roster interface {
 	Targets(ctx context.Context) ([]roster.Target, error)
 }
 
-// ErrNotLeading says that this host does not lead, or has not read all jobs yet.
+// ErrNotLeading is returned if this host does not lead, or has not read all jobs yet.
 var ErrNotLeading = errors.New("not leading")
 
-// Dispatcher leads, whenever its host is told to.
+// Dispatcher schedules all work while its host leads.
 type Dispatcher struct {
-	store   store.Store
-	line    order.Transport
-	roster  Roster
-	bounds  dispatch.Bounds
-	clock   steady.Clock
-	adviser order.Adviser // nil: none
-	metrics tally.Scope
-	keeper  *catalog.Keeper // nil: no configuration
-	settled func(dispatch.JobEnded)
-	// evacuations tells which zones are evacuated; nil: none ever is.
+	store      store.Store
+	transport  order.Transport
+	roster     Roster
+	bounds     dispatch.Bounds
+	clock      steady.Clock
+	adviser    order.Adviser // nil: none
+	metrics    tally.Scope
+	keeper     *catalog.Keeper // nil: no configuration
+	onJobEnded func(dispatch.JobEnded)
+	// evacuations returns which zones are evacuated; nil: none ever is.
 	evacuations func() evacuation.Status
-	// regained returns a channel that is closed when the store serves this host again.
-	regained func() <-chan struct{}
-	log      logr.Logger
-	mu       sync.Mutex
-	now      *office // nil while another host leads
+	// recovered returns a channel that is closed when the store serves this host again.
+	recovered func() <-chan struct{}
+	log       logr.Logger
+	mu        sync.Mutex
+	serving   *leadership // nil while another host leads
 }
 
 // Option sets one property of a new dispatcher.
@@ -73,259 +73,262 @@
 // system's.
 func WithClock(c steady.Clock) Option { return func(d *Dispatcher) { d.clock = c } }
 
-// WithMetrics sets where the leader counts; without it nothing is counted.
+// WithMetrics sets the scope of the leader's metrics, by default none.
 func WithMetrics(s tally.Scope) Option { return func(d *Dispatcher) { d.metrics = s } }
 
-// WithAdviser sets who is asked for advice.
+// WithAdviser sets the advice service.
 func WithAdviser(a order.Adviser) Option { return func(d *Dispatcher) { d.adviser = a } }
 
-// WithOutcomes sets who is told of jobs that have ended. It must not block.
-func WithOutcomes(f func(dispatch.JobEnded)) Option { return func(d *Dispatcher) { d.settled = f } }
+// WithJobEnded sets a function that is called for each job that has ended. It must not
+// block.
+func WithJobEnded(f func(dispatch.JobEnded)) Option { return func(d *Dispatcher) { d.onJobEnded = f } }
 
-// WithCatalog sets where the configuration in force is found. Without one no
-// account has a guarantee.
+// WithCatalog sets the keeper of the configuration in force. Without one no account
+// has a guarantee.
 func WithCatalog(k *catalog.Keeper) Option { return func(d *Dispatcher) { d.keeper = k } }
 
-// WithEvacuations sets where the evacuated zones are asked for. Without it no zone is
-// ever evacuated.
+// WithEvacuations sets the function that returns the evacuated zones. Without it no
+// zone is ever evacuated.
 func WithEvacuations(f func() evacuation.Status) Option {
 	return func(d *Dispatcher) { d.evacuations = f }
 }
 
-// WithRegained sets where a channel is found that is closed when the store serves this
-// host again after an outage; without it what an outage held up is asked for at its usual
-// time.
-func WithRegained(f func() <-chan struct{}) Option {
-	return func(d *Dispatcher) { d.regained = f }
+// WithRecovered sets a function that returns a channel which is closed when the store
+// serves this host again after an outage. Without it, calls that an outage held up are
+// repeated at their usual time.
+func WithRecovered(f func() <-chan struct{}) Option {
+	return func(d *Dispatcher) { d.recovered = f }
 }
 
 // New returns a dispatcher that does not lead yet.
-func New(s store.Store, l order.Transport, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
-	b.Parts, b.MaxListAge = Parts, max(b.DrainTime-startSpare, 3*b.DrainTime/4)
-	d := &Dispatcher{store: s, line: l, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, settled: func(dispatch.JobEnded) {}, regained: func() <-chan struct{} { return nil }, log: log}
+func New(s store.Store, t order.Transport, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
+	b.Parts, b.MaxListAge = Partitions, max(b.DrainTime-startMargin, 3*b.DrainTime/4)
+	d := &Dispatcher{store: s, transport: t, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, onJobEnded: func(dispatch.JobEnded) {}, recovered: func() <-chan struct{} { return nil }, log: log}
 	for _, o := range opts {
 		o(d)
 	}
 	if d.evacuations != nil && b.EvacuateTime > 0 {
-		d.bounds.MaxEvacuationAge = max(b.EvacuateTime-startSpare, 3*b.EvacuateTime/4)
+		d.bounds.MaxEvacuationAge = max(b.EvacuateTime-startMargin, 3*b.EvacuateTime/4)
 	}
 	return d
 }
 
-// office is one term while it lasts.
-type office struct {
+// leadership is one term of leadership while it is served.
+type leadership struct {
 	*Dispatcher
-	ctx        context.Context
-	term       *leader.Term
-	machine    *dispatch.Machine
-	stories    *stories // what the machine decided
-	gate       *limiter.Limiter
-	work       chan func(now time.Time)
-	fences     [Parts]int64
-	configured int64         // version of the configuration that the machine was told
-	scanned    int64         // version up to which the jobs table was scanned
-	listing    time.Duration // how long the next list of targets is waited for
-	// toldWaiting is when a line last told that orders wait.
-	toldWaiting time.Time
-	wg          sync.WaitGroup
+	ctx            context.Context
+	term           *leader.Term
+	machine        *dispatch.Machine
+	histories      *histories // of the jobs, in this term
+	limiter        *limiter.Limiter
+	events         chan func(now time.Time)
+	fences         [Partitions]int64
+	configVersion  int64         // version of the configuration that the machine has
+	scannedVersion int64         // version up to which the jobs table was scanned
+	listTimeout    time.Duration // of reading the list of targets next time
+	// waitingLoggedAt is when waiting orders were last logged.
+	waitingLoggedAt time.Time
+	wg              sync.WaitGroup
 }
 
-// Lead carries out a term until the context ends or a newer term is found.
+// Lead serves a term until the context ends or a newer term is found. clean is as for
+// leader.Lead.
 func (d *Dispatcher) Lead(ctx context.Context, t *leader.Term, clean bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	o := &office{
-		Dispatcher: d, ctx: ctx, term: t, work: make(chan func(time.Time), backlog), stories: newStories(d.log),
-		gate: limiter.NewLimiter(time.Now),
+	l := &leadership{
+		Dispatcher: d, ctx: ctx, term: t, events: make(chan func(time.Time), maxQueuedEvents), histories: newHistories(d.log),
+		limiter: limiter.NewLimiter(time.Now),
 	}
-	o.machine = dispatch.New(t.Number(), d.bounds, dispatch.WithLog(o.stories))
-	began := o.clock()
-	if err := o.restore(); err != nil {
+	l.machine = dispatch.New(t.Number(), d.bounds, dispatch.WithLog(l.histories))
+	began := l.clock()
+	if err := l.restore(); err != nil {
 		return fmt.Errorf("term %d: %w", t.Number(), err)
 	}
-	heirEnd := began.Add(d.bounds.Lease + d.bounds.Lease/16 + leader.Grace)
+	predecessorLeasesEnd := began.Add(d.bounds.Lease + d.bounds.Lease/16 + leader.Grace)
 	if clean {
-		heirEnd = heirEnd.Add(-leader.Grace)
+		predecessorLeasesEnd = predecessorLeasesEnd.Add(-leader.Grace)
 	}
-	d.log.Info("restored", "term", t.Number(), "jobs", o.machine.Counts().Jobs, "tookMS", o.clock().Sub(began).Milliseconds())
-	err := o.run(heirEnd)
+	d.log.Info("restored", "term", t.Number(), "jobs", l.machine.Counts().Jobs, "tookMS", l.clock().Sub(began).Milliseconds())
+	err := l.run(predecessorLeasesEnd)
 	cancel()
-	d.set(nil)
-	o.wg.Wait()
+	d.setServing(nil)
+	l.wg.Wait()
 	return err
 }
 
-func (d *Dispatcher) set(o *office) {
+func (d *Dispatcher) setServing(l *leadership) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.now = o
+	d.serving = l
 }
 
-func (d *Dispatcher) office() *office {
+func (d *Dispatcher) current() *leadership {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.now
+	return d.serving
 }
 
-// restore fences all parts and reads their rows.
-func (o *office) restore() error {
+// restore writes the fence rows of all partitions and reads their jobs.
+func (l *leadership) restore() error {
 	type result struct {
-		part    int
-		jobs    []accepted
-		fence   int64
-		version int64
-		err     error
+		partition int
+		jobs      []storedJob
+		fence     int64
+		version   int64
+		err       error
 	}
-	results := make(chan result, Parts)
-	for p := range Parts {
+	results := make(chan result, Partitions)
+	for p := range Partitions {
 		go func() {
-			r := result{part: p}
-			if r.fence, r.err = fence(o.ctx, o.store, p, o.term.Number()); r.err == nil {
-				r.jobs, r.version, r.err = o.readUntil(p)
+			r := result{partition: p}
+			if r.fence, r.err = writeFence(l.ctx, l.store, p, l.term.Number()); r.err == nil {
+				r.jobs, r.version, r.err = l.readPartitionUntilAnswered(p)
 			}
 			results <- r
 		}()
 	}
-	now := o.clock()
-	o.machine.SetWallOffset(o.clock.WallOffset())
-	for i := range Parts {
+	now := l.clock()
+	l.machine.SetWallOffset(l.clock.WallOffset())
+	for i := range Partitions {
 		r := <-results
 		if r.err != nil {
 			return r.err
 		}
-		o.fences[r.part] = r.fence
-		if i == 0 || r.version < o.scanned {
-			o.scanned = r.version
+		l.fences[r.partition] = r.fence
+		if i == 0 || r.version < l.scannedVersion {
+			l.scannedVersion = r.version
 		}
 		for _, a := range r.jobs {
-			o.machine.Restore(a.spec, a.progress, a.version, a.cancelled, now)
+			l.machine.Restore(a.spec, a.progress, a.version, a.cancelled, now)
 		}
 	}
 	return nil
 }
 
-// readUntil reads a part, again and again until the store answers.
-func (o *office) readUntil(part int) ([]accepted, int64, error) {
+// readPartitionUntilAnswered reads a partition, and repeats this until the store answers.
+func (l *leadership) readPartitionUntilAnswered(partition int) ([]storedJob, int64, error) {
 	for {
-		ctx, cancel := context.WithTimeout(o.ctx, storeTime)
-		jobs, version, err := readPart(ctx, o.store, part, o.odd)
+		ctx, cancel := context.WithTimeout(l.ctx, storeTimeout)
+		jobs, version, err := readPartition(ctx, l.store, partition, l.logMalformed)
 		cancel()
 		if err == nil {
 			return jobs, version, nil
 		}
-		if o.ctx.Err() != nil {
+		if l.ctx.Err() != nil {
 			return nil, 0, err
 		}
-		o.log.Info("rows not read", "part", part, "error", err.Error())
-		pause(o.ctx, storePause)
+		l.log.Info("rows not read", "part", partition, "error", err.Error())
+		sleep(l.ctx, storeRetryDelay)
 	}
 }
 
-func (o *office) odd(r store.Row, err error) {
-	o.log.Info("row ignored", "table", r.Key.Table, "part", r.Key.Partition, "name", r.Key.Name, "version", r.Version, "error", fmt.Sprint(err))
+func (l *leadership) logMalformed(r store.Row, err error) {
+	l.log.Info("malformed row ignored", "table", r.Key.Table, "part", r.Key.Partition, "name", r.Key.Name, "version", r.Version, "error", fmt.Sprint(err))
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// run is the loop that owns the machine.
-func (o *office) run(heirEnd time.Time) error {
-	listed, err := o.firstList()
+// run is the main loop, which owns the machine.
+// predecessorLeasesEnd is when the last lease ends that an earlier leader may have granted.
+func (l *leadership) run(predecessorLeasesEnd time.Time) error {
+	listed, err := l.awaitTargets()
 	if err != nil {
 		return err
 	}
-	o.listing = listPatience(o.clock().Sub(listed))
-	o.configure()
-	o.set(o)
-	o.every(o.bounds.DrainTime/2, listed, o.list) // the list is most of what an idle leader reads
-	o.every(scanEvery, o.clock(), o.scan)
-	o.machine.EnablePlacement(heirEnd, o.clock())
-	tick := time.NewTicker(tickEvery)
+	l.listTimeout = nextListTimeout(l.clock().Sub(listed))
+	l.applyConfig()
+	l.setServing(l)
+	l.runEvery(l.bounds.DrainTime/2, listed, l.refreshTargets) // the list is most of what an idle leader reads
+	l.runEvery(scanInterval, l.clock(), l.scan)
+	l.machine.EnablePlacement(predecessorLeasesEnd, l.clock())
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
-		now := o.clock()
-		if o.evacuations != nil {
-			o.machine.SetEvacuated(o.evacuations(), now)
+		now := l.clock()
+		if l.evacuations != nil {
+			l.machine.SetEvacuated(l.evacuations(), now)
 		}
-		o.machine.SetMaxPendingStarts(o.gate.MaxPendingStarts())
-		o.machine.SetOrderTime(o.gate.MeanLatency())
-		for _, c := range o.machine.Decide(now) {
-			o.carryOut(c, now)
+		l.machine.SetMaxPendingStarts(l.limiter.MaxPendingStarts())
+		l.machine.SetOrderTime(l.limiter.MeanLatency())
+		for _, c := range l.machine.Decide(now) {
+			l.execute(c, now)
 		}
-		if o.machine.Deposed() {
+		if l.machine.Deposed() {
 			return errNewerTerm
 		}
 		var due <-chan time.Time
-		if at, more := o.machine.NextDecision(now); more {
+		if at, more := l.machine.NextDecision(now); more {
 			due = time.After(max(at.Sub(now), 0))
 		}
 		select {
-		case <-o.ctx.Done():
-			return o.ctx.Err()
-		case f := <-o.work:
-			f(o.clock())
+		case <-l.ctx.Done():
+			return l.ctx.Err()
+		case f := <-l.events:
+			f(l.clock())
 		case <-due:
 		case <-tick.C:
-			o.configure()
-			o.machine.SetWallOffset(o.clock.WallOffset())
-			o.machine.Tick(o.clock())
-			o.count()
+			l.applyConfig()
+			l.machine.SetWallOffset(l.clock.WallOffset())
+			l.machine.Tick(l.clock())
+			l.updateMetrics()
 		}
-		o.drain()
+		l.drainEvents()
 	}
 }
 
-// count shows what the machine holds.
-func (o *office) count() {
-	c := o.machine.Counts()
-	sure, usable := o.machine.Guarantees()
+// updateMetrics updates the gauges of the machine's state and of the order queue.
+func (l *leadership) updateMetrics() {
+	c := l.machine.Counts()
+	guaranteed, usable := l.machine.Guarantees()
 	for name, n := range map[string]int{
 		"jobs": c.Jobs, "targets": c.Targets, "targets_held": c.Reachable, "runs": c.Runs, "steps_waiting": c.OpenSteps,
-		"zones_evacuated": c.Evacuated, "accelerators_usable": usable, "accelerators_guaranteed": sure,
+		"zones_evacuated": c.Evacuated, "accelerators_usable": usable, "accelerators_guaranteed": guaranteed,
 	} {
-		o.metrics.Gauge(name).Update(float64(n))
+		l.metrics.Gauge(name).Update(float64(n))
 	}
-	o.metrics.Gauge("term").Update(float64(o.term.Number()))
-	l := o.gate.Stats()
-	if now := o.clock(); l.Waiting > 0 && now.Sub(o.toldWaiting) >= time.Second {
-		o.toldWaiting = now
-		o.log.Info("orders wait", "waiting", l.Waiting, "oldestMS", l.LongestWait.Milliseconds(), "limit", l.Limit, "perSecond", int(l.Rate), "delayMS", l.Delay.Milliseconds(), "stepsWaiting", c.OpenSteps)
+	l.metrics.Gauge("term").Update(float64(l.term.Number()))
+	load := l.limiter.Stats()
+	if now := l.clock(); load.Waiting > 0 && now.Sub(l.waitingLoggedAt) >= time.Second {
+		l.waitingLoggedAt = now
+		l.log.Info("orders waiting", "waiting", load.Waiting, "oldestMS", load.LongestWait.Milliseconds(), "limit", load.Limit, "perSecond", int(load.Rate), "delayMS", load.Delay.Milliseconds(), "stepsWaiting", c.OpenSteps)
 	}
-	o.metrics.Gauge("orders_limit").Update(float64(l.Limit))
-	o.metrics.Gauge("orders_waiting").Update(float64(l.Waiting))
-	o.metrics.Gauge("orders_rate").Update(l.Rate)
-	o.metrics.Gauge("order_wait_seconds").Update(l.LongestWait.Seconds())
-	o.metrics.Gauge("order_delay_seconds").Update(l.Delay.Seconds())
+	l.metrics.Gauge("orders_limit").Update(float64(load.Limit))
+	l.metrics.Gauge("orders_waiting").Update(float64(load.Waiting))
+	l.metrics.Gauge("orders_rate").Update(load.Rate)
+	l.metrics.Gauge("order_wait_seconds").Update(load.LongestWait.Seconds())
+	l.metrics.Gauge("order_delay_seconds").Update(load.Delay.Seconds())
 }
 
-// configure tells the machine of a newer configuration.
-func (o *office) configure() {
-	if o.keeper == nil {
+// applyConfig passes a newer configuration to the machine.
+func (l *leadership) applyConfig() {
+	if l.keeper == nil {
 		return
 	}
-	now := o.keeper.Current()
-	if now == nil || now.Version() == o.configured {
+	now := l.keeper.Current()
+	if now == nil || now.Version() == l.configVersion {
 		return
 	}
-	o.configured = now.Version()
-	sure := map[string]int{}
+	l.configVersion = now.Version()
+	guaranteed := map[string]int{}
 	for _, a := range now.Accounts() {
-		sure[a.Name] = a.Guaranteed
+		guaranteed[a.Name] = a.Guaranteed
 	}
-	o.machine.SetGuarantees(sure)
-	o.log.Info("decides by configuration", "version", now.Version(), "accounts", len(sure))
+	l.machine.SetGuarantees(guaranteed)
+	l.log.Info("configuration applied", "version", now.Version(), "accounts", len(guaranteed))
 }
 
-// drain takes in all events that wait, so that one decision covers them.
-func (o *office) drain() {
-	now := o.clock()
-	for range backlog {
+// drainEvents handles all waiting events, so that one decision covers them.
+func (l *leadership) drainEvents() {
+	now := l.clock()
+	for range maxQueuedEvents {
 		select {
-		case f := <-o.work:
+		case f := <-l.events:
 			f(now)
 		default:
 			return
@@ -333,100 +336,102 @@
 	}
 }
 
-// firstList waits for the list of targets, and returns when it was asked for.
-func (o *office) firstList() (time.Time, error) {
+// awaitTargets reads the first list of targets, and returns when the successful read
+// began.
+func (l *leadership) awaitTargets() (time.Time, error) {
 	for {
-		asOf := o.clock()
-		list, err := o.targets(o.ctx, storeTime)
+		asOf := l.clock()
+		list, err := l.readTargets(l.ctx, storeTimeout)
 		if err == nil {
-			o.machine.UpdateTargets(list, asOf, o.clock())
+			l.machine.UpdateTargets(list, asOf, l.clock())
 			return asOf, nil
 		}
-		if o.ctx.Err() != nil {
+		if l.ctx.Err() != nil {
 			return asOf, err
 		}
-		o.log.Info("targets not listed", "error", err.Error())
-		pause(o.ctx, storePause)
+		l.log.Info("targets not listed", "error", err.Error())
+		sleep(l.ctx, storeRetryDelay)
 	}
 }
 
-func (o *office) targets(ctx context.Context, patience time.Duration) ([]roster.Target, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func (l *leadership) readTargets(ctx context.Context, timeout time.Duration) ([]roster.Target, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	list, err := o.roster.Targets(ctx)
-	if err != nil || o.keeper == nil {
+	list, err := l.roster.Targets(ctx)
+	if err != nil || l.keeper == nil {
 		return list, err
 	}
 	list = slices.Clone(list)
 	for i := range list {
-		list[i].Draining = list[i].Draining || o.keeper.Current().Draining(list[i].ID)
+		list[i].Draining = list[i].Draining || l.keeper.Current().Draining(list[i].ID)
 	}
 	return list, nil
 }
 
-// every runs f again and again, each time d after it began last, or at once if it
-// took longer. It began last at the time given. When the store is regained, f is cut
-// short and runs anew: by then its call may be lost, and much waits for it. One that
-// failed runs again after a pause.
-func (o *office) every(d time.Duration, last time.Time, f func(ctx context.Context) error) {
+// runEvery runs f periodically until the term ends, each time d after the last run
+// began, or at once if that took longer. last is when it last began. When the store
+// recovers, f is cancelled and restarted: its call may be lost, and much waits for it. A
+// failed run is repeated after storeRetryDelay.
+func (l *leadership) runEvery(d time.Duration, last time.Time, f func(ctx context.Context) error) {
 	next := last.Add(d)
-	o.spawn(func() {
-		for o.ctx.Err() == nil {
+	l.spawn(func() {
+		for l.ctx.Err() == nil {
 			select {
-			case <-o.ctx.Done():
+			case <-l.ctx.Done():
 				return
-			case <-o.regained():
-			case <-time.After(max(next.Sub(o.clock()), 0)):
+			case <-l.recovered():
+			case <-time.After(max(next.Sub(l.clock()), 0)):
 			}
-			next = o.clock().Add(d)
-			cut, err := store.RunUntilRecovered(o.ctx, o.regained(), f)
+			next = l.clock().Add(d)
+			cut, err := store.RunUntilRecovered(l.ctx, l.recovered(), f)
 			switch {
 			case cut:
-				next = o.clock()
+				next = l.clock()
 			case err != nil:
-				next = o.clock().Add(storePause)
+				next = l.clock().Add(storeRetryDelay)
 			}
 		}
 	})
 }
 
-func (o *office) spawn(f func()) {
-	o.wg.Add(1)
+func (l *leadership) spawn(f func()) {
+	l.wg.Add(1)
 	go func() {
-		defer o.wg.Done()
+		defer l.wg.Done()
 		f()
 	}()
 }
 
-// order runs f, which talks to a target, beside the loop. The end of the term does
-// not wait for it: it sends nothing more by then, and a call to a target that does not
-// answer would hold up the next leader.
-func (o *office) order(f func()) { go f() }
+// spawnDetached runs f, which calls a target, in a goroutine. The end of the term does
+// not wait for it: f sends nothing more by then, and a call to a target that does not
+// answer would delay the next leader.
+func (l *leadership) spawnDetached(f func()) { go f() }
 
-// post gives the loop an event, unless the term ends first.
-func (o *office) post(f func(now time.Time)) {
+// post queues an event for the main loop, unless the term ends first.
+func (l *leadership) post(f func(now time.Time)) {
 	select {
-	case o.work <- f:
-	case <-o.ctx.Done():
+	case l.events <- f:
+	case <-l.ctx.Done():
 	}
 }
 
-// list reads the list of targets.
-func (o *office) list(ctx context.Context) error {
-	asOf := o.clock()
-	list, err := o.targets(ctx, o.listing)
+// refreshTargets reads the list of targets.
+func (l *leadership) refreshTargets(ctx context.Context) error {
+	asOf := l.clock()
+	list, err := l.readTargets(ctx, l.listTimeout)
 	if err != nil {
-		o.listing = min(2*o.listing, storeTime)
-		o.log.V(1).Info("targets not listed", "error", err.Error())
+		l.listTimeout = min(2*l.listTimeout, storeTimeout)
+		l.log.V(1).Info("targets not listed", "error", err.Error())
 		return err
 	}
-	o.listing = listPatience(o.clock().Sub(asOf))
-	o.post(func(now time.Time) { o.machine.UpdateTargets(list, asOf, now) })
+	l.listTimeout = nextListTimeout(l.clock().Sub(asOf))
+	l.post(func(now time.Time) { l.machine.UpdateTargets(list, asOf, now) })
 	return nil
 }
 
-// listPatience returns how long the next list is waited for if one took so long: an
-// answer that was lost must not hold placing up until the usual time-out.
-func listPatience(took time.Duration) time.Duration {
-	return min(max(leastListing, listFactor*took), storeTime)
+// nextListTimeout returns the timeout of the next read of the list after one that took
+// so long. It is shorter than storeTimeout in general: a lost answer must not hold up
+// placement that long.
+func nextListTimeout(took time.Duration) time.Duration {
+	return min(max(minListTimeout, listTimeoutFactor*took), storeTimeout)
 }
--- /dev/null
+++ b/internal/host/dispatcher/requests.go
@@ -0,0 +1,79 @@
+package dispatcher
+
+import (
+	"context"
+	"time"
+
+	"guavaglade.example/guavaglade/internal/report/view"
+	"guavaglade.example/guavaglade/internal/work/dispatch"
+	"guavaglade.example/guavaglade/internal/work/graph"
+)
+
+// Submitted notifies the leader of a job that was accepted and stored.
+func (d *Dispatcher) Submitted(ctx context.Context, j *graph.Job) error {
+	return d.onLoop(ctx, func(m *dispatch.Machine, now time.Time) { m.Accept(j, now) })
+}
+
+// Cancelled notifies the leader that a job's cancellation was stored.
+func (d *Dispatcher) Cancelled(ctx context.Context, id graph.JobID) error {
+	return d.onLoop(ctx, func(m *dispatch.Machine, now time.Time) { m.Cancel(id, now) })
+}
+
+// State returns the status that clients may see of a job, and whether the leader knows
+// the job.
+func (d *Dispatcher) State(ctx context.Context, id graph.JobID) (status view.JobStatus, known bool, err error) {
+	err = d.onLoop(ctx, func(m *dispatch.Machine, _ time.Time) { status, known = m.Status(id) })
+	return status, known, err
+}
+
+// Pending returns how many jobs of a queue have not started.
+func (d *Dispatcher) Pending(ctx context.Context, queue string) (n int, err error) {
+	err = d.onLoop(ctx, func(m *dispatch.Machine, _ time.Time) { n = m.Pending(queue) })
+	return n, err
+}
+
+// Jobs returns the jobs of a client account, or of all where it is empty.
+func (d *Dispatcher) Jobs(ctx context.Context, account string) (list []view.Job, err error) {
+	err = d.onLoop(ctx, func(m *dispatch.Machine, _ time.Time) { list = m.Jobs(account) })
+	return list, err
+}
+
+// History returns a job with the decisions about it, and whether the leader knows the
+// job.
+func (d *Dispatcher) History(ctx context.Context, id graph.JobID) (history view.History, known bool, err error) {
+	err = d.onLoop(ctx, func(m *dispatch.Machine, _ time.Time) {
+		history.Job, known = m.Job(id)
+		history.Term = m.Term()
+	})
+	if l := d.current(); l != nil && known {
+		history.Decisions = l.histories.ofJob(id)
+	}
+	return history, known, err
+}
+
+// Fleet returns the targets and accounts as the leader knows them.
+func (d *Dispatcher) Fleet(ctx context.Context) (f view.Fleet, err error) {
+	err = d.onLoop(ctx, func(m *dispatch.Machine, now time.Time) { f = m.Fleet(now) })
+	return f, err
+}
+
+// onLoop runs f on the main loop and waits for it.
+func (d *Dispatcher) onLoop(ctx context.Context, f func(m *dispatch.Machine, now time.Time)) error {
+	l := d.current()
+	if l == nil || !l.term.Valid(d.clock()) {
+		return ErrNotLeading
+	}
+	done := make(chan struct{})
+	l.post(func(now time.Time) {
+		f(l.machine, now)
+		close(done)
+	})
+	select {
+	case <-done:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-l.ctx.Done():
+		return ErrNotLeading
+	}
+}
--- a/internal/host/rpc/endpoint.go
+++ b/internal/host/rpc/endpoint.go
@@ -82,7 +82,7 @@
 	State(ctx context.Context, id graph.JobID) (status view.JobStatus, known bool, err error)
 	Pending(ctx context.Context, queue string) (int, error)
 	Jobs(ctx context.Context, account string) ([]view.Job, error)
-	Story(ctx context.Context, id graph.JobID) (history view.History, known bool, err error)
+	History(ctx context.Context, id graph.JobID) (history view.History, known bool, err error)
 	Fleet(ctx context.Context) (view.Fleet, error)
 }
 
--- a/internal/host/rpc/endpoint_test.go
+++ b/internal/host/rpc/endpoint_test.go
@@ -49,7 +49,7 @@
 	return view.JobStatus{Queue: "refill"}, true, d.err()
 }
 
-func (d *testDispatcher) Story(context.Context, graph.JobID) (view.History, bool, error) {
+func (d *testDispatcher) History(context.Context, graph.JobID) (view.History, bool, error) {
 	return view.History{}, true, d.err()
 }
 
@@ -248,7 +248,7 @@
 		{"the leader writes it", nil, nil, nil, 0},
 		{"the leader cannot", entry.ErrNotAccepted, nil, nil, 1},
 		{"neither can", entry.ErrNotAccepted, entry.ErrNotAccepted, entry.ErrNotAccepted, 1},
-		{"outcome unknown", entry.ErrNotKnown, nil, entry.ErrNotKnown, 0},
+		{"outcome unknown", entry.ErrOutcomeUnknown, nil, entry.ErrOutcomeUnknown, 0},
 		{"no such job", entry.ErrNoJob, nil, entry.ErrNoJob, 0},
 	}
 	for _, c := range cases {
--- a/internal/host/rpc/relay.go
+++ b/internal/host/rpc/relay.go
@@ -42,7 +42,7 @@
 	case r.NotAccepted:
 		return relayError{entry.ErrNotAccepted, r.Reason}
 	}
-	return relayError{entry.ErrNotKnown, r.Reason}
+	return relayError{entry.ErrOutcomeUnknown, r.Reason}
 }
 
 // relayError is an error that a peer reported for a relayed request.
@@ -86,7 +86,7 @@
 		case peer.Answered(callErr), errors.Is(callErr, peer.ErrUnreached):
 			err = fmt.Errorf("%w: %w", entry.ErrNotAccepted, callErr)
 		default:
-			return fmt.Errorf("%w: %w", entry.ErrNotKnown, callErr)
+			return fmt.Errorf("%w: %w", entry.ErrOutcomeUnknown, callErr)
 		}
 	}
 	return err
--- a/internal/host/rpc/views.go
+++ b/internal/host/rpc/views.go
@@ -30,7 +30,7 @@
 }
 
 func (e *Endpoint) localHistory(ctx context.Context, id graph.JobID) (historyReply, error) {
-	history, known, err := e.dispatcher.Story(ctx, id)
+	history, known, err := e.dispatcher.History(ctx, id)
 	return historyReply{History: history, Known: known}, err
 }
 
