--- a/internal/work/dispatch/pacing.go
+++ b/internal/work/dispatch/pacing.go
@@ -6,30 +6,30 @@
 	"guavaglade.example/guavaglade/internal/fleet/order"
 )
 
-// Best-effort tasks use the processor time that others leave, and slow down tasks
-// that serve beside them, by amounts that are not known beforehand and change
-// within seconds. So the tail of response times that a target reports steers how
-// much its best-effort tasks work.
+// Best-effort tasks use the processor time that others leave, and slow down serving tasks
+// on the same target by amounts that are not known beforehand and change within seconds.
+// So the tail latency that a target reports controls at which share of its speed a
+// best-effort task works.
 
-// Figures of pacing. The tail may be over its limit for some seconds on end
-// before that counts as harm.
+// Parameters of pacing. Harm is counted only after the tail latency has exceeded its
+// limit for some consecutive seconds.
 const (
-	// paceWait is how long a report waits on a target where tasks that serve and
-	// best-effort tasks are side by side.
-	paceWait = time.Second
-	// slowDownAbove and speedUpBelow: shares of the limit on the tail above which best-effort
-	// tasks are slowed down, and below which they are let on. The gap keeps them
-	// from swinging.
+	// pacedPollWait is how long a poll waits for an end on a target with both serving and
+	// best-effort tasks.
+	pacedPollWait = time.Second
+	// slowDownAbove and speedUpBelow are shares of the limit on the tail latency.
+	// Best-effort tasks are slowed down above the one and sped up below the other; the
+	// gap prevents oscillation.
 	slowDownAbove = 0.85
 	speedUpBelow  = 0.6
-	// paceStep is how many percent best-effort tasks are let on at a time.
+	// paceStep is by how many percent best-effort tasks are sped up at a time.
 	paceStep = 15
-	// pacePause is the pause after a change, until its effect is reported: the
-	// tail is that of the last half second.
+	// pacePause is the pause after a change until its effect is reported: the tail
+	// latency is that of the last half second.
 	pacePause = 700 * time.Millisecond
 )
 
-// Pace lets a best-effort run work at a share of its speed. The answer goes to
+// Pace asks to have a best-effort run work at a share of its speed. The answer goes to
 // Machine.PaceAnswered.
 type Pace struct {
 	Target  order.Address
@@ -39,7 +39,8 @@
 
 func (Pace) command() {}
 
-// pace steers the best-effort runs of a target by what it just reported.
+// pace adjusts the best-effort runs of a target to the tail latency that it has just
+// reported.
 func (m *Machine) pace(t *target, now time.Time) {
 	ratio, serves := t.tailRatio()
 	if !serves || now.Before(t.pacedAt.Add(pacePause)) {
@@ -58,8 +59,8 @@
 	}
 }
 
-// nextShare returns the share at which a best-effort run works next: much less when the
-// tail nears its limit, none when it is over it, a little more when there is room.
+// nextShare returns the next share of a best-effort run: half when the tail latency is
+// near its limit, none when it has reached it, a little more when it is well below.
 func nextShare(share int, ratio float64) int {
 	switch {
 	case ratio >= 1:
@@ -72,8 +73,8 @@
 	return share
 }
 
-// tailRatio returns the worst tail of the target's serving tasks as a share of its
-// limit, and whether any serves there.
+// tailRatio returns the highest tail latency of the target's serving tasks as a share of
+// its limit, and whether any task serves there.
 func (t *target) tailRatio() (worst float64, serves bool) {
 	for _, r := range t.runs {
 		limit := r.task.step.spec.TailLimit
@@ -86,7 +87,8 @@
 	return worst, serves
 }
 
-// mixesServingAndBestEffort reports whether tasks that serve and best-effort tasks are on the target.
+// mixesServingAndBestEffort reports whether the target has both serving and best-effort
+// tasks.
 func (t *target) mixesServingAndBestEffort() bool {
 	bestEffort := false
 	for _, r := range t.runs {
@@ -96,8 +98,8 @@
 	return bestEffort && serves
 }
 
-// PaceAnswered takes in what became of an order to pace. One that was not carried
-// out is given again with the next report.
+// PaceAnswered records the outcome of a Pace command; the caller calls it when the order
+// was answered or has failed. A failed order is repeated after the next report.
 func (m *Machine) PaceAnswered(target string, id order.Run, clock int64, err error, now time.Time) {
 	t := m.targets[target]
 	if t == nil {
@@ -110,12 +112,11 @@
 	}
 }
 
-// adoptedShare is the share at which a best-effort run is thought to work that an
-// earlier leader started: it may have been slowed down to nothing, so it is let
-// on from there.
+// adoptedShare is the share that is assumed for a best-effort run which an earlier leader
+// started: it may have been slowed down to nothing, so it is sped up from there.
 const adoptedShare = paceStep
 
-// initialShare returns the share at which a run that was found is thought to work.
+// initialShare returns the share that is assumed for a run found on a target.
 func initialShare(s *step) int {
 	if s.spec.BestEffortCPU {
 		return adoptedShare
@@ -123,8 +124,8 @@
 	return 100
 }
 
-// interference says how much a best-effort task, or one that serves, would be disturbed
-// or disturb on a target: the number of the others there.
+// interference returns how many runs on the target a task of the step would disturb or be
+// disturbed by: serving ones for a best-effort task, and the reverse.
 func (t *target) interference(s *step) int {
 	n := 0
 	for _, r := range t.runs {
--- a/internal/work/dispatch/pacing_test.go
+++ b/internal/work/dispatch/pacing_test.go
@@ -13,17 +13,17 @@
 
 func TestNextShare(t *testing.T) {
 	is := is.New(t)
-	is.Equal(nextShare(100, 1.2), 0)  // over the limit: not at all
+	is.Equal(nextShare(100, 1.2), 0)  // over the limit: halted
 	is.Equal(nextShare(100, 0.9), 50) // near it: half
-	is.Equal(nextShare(50, 0.7), 50)  // between: as it is
+	is.Equal(nextShare(50, 0.7), 50)  // between: unchanged
 	is.Equal(nextShare(50, 0.3), 65)  // well below: a little more
-	is.Equal(nextShare(95, 0.1), 100) // at most all
-	is.Equal(nextShare(0, 0.1), 15)   // back from nothing
+	is.Equal(nextShare(95, 0.1), 100) // at most 100
+	is.Equal(nextShare(0, 0.1), 15)   // back from 0
 }
 
-// A task that serves shares its target with a best-effort one. Its tail nears and
-// passes the limit: the best-effort one is slowed down, then halted; when the tail is
-// low again it is let on step by step.
+// A serving task shares its target with a best-effort one. As the tail latency nears and
+// then passes the limit, the best-effort task is slowed down, then halted; when the
+// latency is low again it is sped up step by step.
 func TestBestEffortTaskIsPaced(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
@@ -41,7 +41,7 @@
 		}})
 		return commands[Pace](s)
 	}
-	is.Equal(tail(20)[0].Percent, 2*paceStep) // found: let on from low
+	is.Equal(tail(20)[0].Percent, 2*paceStep) // found on the target: sped up from a low share
 	for range 5 {
 		tail(20)
 	}
@@ -51,7 +51,7 @@
 	is.Equal(tail(40)[0].Percent, paceStep)
 }
 
-// The order to pace is not answered. It is given again with the next report.
+// An order to pace is not answered. It is sent again after the next report.
 func TestUnansweredPaceIsRepeated(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
@@ -73,8 +73,8 @@
 	is.Equal(len(commands[Pace](s)), 1)
 }
 
-// Long-running tasks run on a target that leaves. They are moved one after the other,
-// as many at a time as their step may miss, and none of the others is stopped.
+// Long-running tasks run on a draining target. At most as many are moved at a time as
+// their step allows to be unavailable, and none of the others is stopped.
 func TestLongRunningTasksMoveWithinMaxUnavailable(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 3, DefaultBounds())
@@ -88,13 +88,13 @@
 		}
 	}
 	is.Equal(d.m.jobs[id].steps[0].unavailable(), 0)
-	leaving := d.m.sortedTargets[0]
-	before := len(leaving.runs)
+	draining := d.m.sortedTargets[0]
+	before := len(draining.runs)
 	is.True(before >= 2)
-	leaving.Draining = true
-	d.m.moveLongRunning(leaving, d.now)
+	draining.Draining = true
+	d.m.moveLongRunning(draining, d.now)
 	stopped := 0
-	for _, r := range leaving.runs {
+	for _, r := range draining.runs {
 		if r.phase == stopping {
 			stopped++
 		}
@@ -102,8 +102,7 @@
 	is.Equal(stopped, 1)
 }
 
-// Jobs that ended long ago are taken out of the store, and are known until that
-// has happened.
+// Jobs that ended long ago are removed from the store, and are known until that is done.
 func TestForgetRemovesOldJobs(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
--- a/internal/work/dispatch/poll.go
+++ b/internal/work/dispatch/poll.go
@@ -8,22 +8,21 @@
 	"guavaglade.example/guavaglade/internal/fleet/order"
 )
 
-// maxAckDelay bounds how long an end that is saved stays unacknowledged: the
-// acknowledgement rides on the next poll, which a target without work would not
-// need otherwise.
+// maxAckDelay bounds how long a saved end stays unacknowledged. Polls carry
+// acknowledgements, and a target without work is not polled for any other reason.
 const maxAckDelay = time.Second
 
-// unsavedPause is the pause before a target is asked again that lists ends whose
-// progress is not saved yet: it would answer at once, with the same ends. It is
-// asked when they are saved, and after the pause in any case, so that its lease
-// is renewed while the store is away.
+// unsavedPause is the pause between polls of a target that has listed ends whose progress
+// is not saved yet: it would answer at once, with the same ends. The target is polled
+// when they are saved, and after the pause at the latest, so that its lease is renewed
+// while the store is unavailable.
 const unsavedPause = time.Second
 
-// tickTarget asks the target for a report if one is due, and gives up what
-// cannot exist any more on a target that does not answer.
+// tickTarget sends the polls and order retries that are due for a target, and releases
+// the runs of an unreachable target whose leases have lapsed.
 func (m *Machine) tickTarget(t *target, now time.Time) {
 	if t.reach != reachable && !now.Before(t.leaseEnd) && len(t.runs) > 0 {
-		m.log.Decided("target silent until its leases lapsed", "target", t.ID, "runs", len(t.runs), "silentMS", now.Sub(t.unreachableSince).Milliseconds())
+		m.log.Decided("target unreachable until its leases lapsed", "target", t.ID, "runs", len(t.runs), "silentMS", now.Sub(t.unreachableSince).Milliseconds())
 		m.releaseAll(t, now)
 	}
 	for _, r := range t.runsWhere((*run).awaitsAnswer) {
@@ -33,21 +32,21 @@
 	m.extraPollIfDue(t, now)
 }
 
-// Figures of extra polls.
+// Timing of extra polls.
 const (
-	// pollOverdue is how long after its time a poll counts as lost.
+	// pollOverdue is how long after the end of its wait a poll counts as lost.
 	pollOverdue = 300 * time.Millisecond
-	// endOverdueAfter is how long after a stop was answered its end is missed. A stop
-	// takes up to 400 ms, and most take half of it.
+	// endOverdueAfter is how long after a stop was answered the end of its run is
+	// overdue. A stop takes up to 400 ms, and most take half of that.
 	endOverdueAfter = 450 * time.Millisecond
-	// extraPollInterval is the time between two extra polls of one target.
+	// extraPollInterval is the shortest time between two extra polls of a target.
 	extraPollInterval = 400 * time.Millisecond
 )
 
-// extraPollIfDue asks for a report beside the poll that is outstanding, if that may
-// have been lost: its time is over, another order was not answered, or a stop was
-// answered and its end is not listed. Without it a lost poll blinds the leader until
-// its time-out, and room that was cleared for urgent work goes unused for as long.
+// extraPollIfDue sends an extra poll if the outstanding one may have been lost: it is
+// overdue, another order was not answered, or the end of a stopped run is overdue.
+// Otherwise the leader would learn nothing of the target until the lost poll times out,
+// and preempted capacity would stay unused for as long.
 func (m *Machine) extraPollIfDue(t *target, now time.Time) {
 	if !t.pollPending || t.extraPollPending || t.reach != reachable || now.Sub(t.extraPollSentAt) < extraPollInterval {
 		return
@@ -58,16 +57,17 @@
 	m.sendExtraPoll(t, now)
 }
 
-// sendExtraPoll asks for a report beside the poll that is outstanding.
+// sendExtraPoll sends a poll beside the outstanding one.
 func (m *Machine) sendExtraPoll(t *target, now time.Time) {
 	t.extraPollPending, t.extraPollSentAt = true, now
 	m.commands = append(m.commands, Poll{Target: t.address(), Order: order.Poll{Term: m.term, Acked: t.acked}, Class: t.class(limiter.Report), Extra: true, Sent: now})
 }
 
-// pollZone asks the targets of a zone that have missed something for a report, now that
-// one of them answers again: a cut may be over. Their polls were sent into it, and would be
-// waited for until their time-outs, with all that has ended there. A new leader's first
-// polls are on their way to all targets; those are not to be asked twice.
+// pollZone sends extra polls to the unresponsive targets of a zone after one of its
+// targets has answered: the zone may be reachable again. The outstanding polls were sent
+// while it was not, and the ends there would be learned only after their timeouts.
+// Targets that have missed nothing are left out: a new leader's first polls are still
+// under way to all targets, and must not be sent twice.
 func (m *Machine) pollZone(zone string, now time.Time) {
 	for _, t := range m.sortedTargets {
 		if t.Zone == zone && t.reach != reachable && !t.responsive() && t.pollPending && !t.extraPollPending && now.Sub(t.extraPollSentAt) >= extraPollInterval {
@@ -76,8 +76,8 @@
 	}
 }
 
-// endOverdue reports whether a stop was answered long ago and its end was not
-// listed since.
+// endOverdue reports whether a stop was answered at least endOverdueAfter ago and no
+// report has listed the end of its run since.
 func (t *target) endOverdue(now time.Time) bool {
 	for _, r := range t.runs {
 		if r.phase == stopping && !r.orderAnsweredAt.IsZero() && now.Sub(r.orderAnsweredAt) >= endOverdueAfter {
@@ -87,8 +87,8 @@
 	return false
 }
 
-// pollIfDue asks for a report: the first one of this term at once; later ones
-// while something may run there or an acknowledgement is due.
+// pollIfDue polls the target if that is due: once at the start of the term, and later
+// while runs may exist there, an acknowledgement is due or it does not answer.
 func (m *Machine) pollIfDue(t *target, now time.Time) {
 	if t.pollPending || now.Before(t.nextPollAt) || (len(t.unsavedEnds) > 0 && now.Before(t.unsavedPollAt)) {
 		return
@@ -108,15 +108,16 @@
 	}
 }
 
-// pollWait returns how long a report of the target waits for an end.
+// pollWait returns how long a poll of the target waits for an end.
 func (t *target) pollWait() time.Duration {
 	if t.mixesServingAndBestEffort() {
-		return paceWait
+		return pacedPollWait
 	}
 	return maxPollWait
 }
 
-// hasOrderedRuns reports whether an order was sent for anything that may run there.
+// hasOrderedRuns reports whether an order was sent for any run that may exist on the
+// target.
 func (t *target) hasOrderedRuns() bool {
 	for _, r := range t.runs {
 		if r.phase != awaitingCapacity && r.phase != recorded {
@@ -127,24 +128,24 @@
 }
 
 func (m *Machine) sendPoll(t *target, wait time.Duration, now time.Time) {
-	h := order.Poll{Term: m.term, Acked: t.acked}
-	if t.reach == reachable { // a silent target's lease must come to an end
-		h.Wait = wait
+	o := order.Poll{Term: m.term, Acked: t.acked}
+	if t.reach == reachable { // the lease of an unreachable target must lapse
+		o.Wait = wait
 		if t.clockMS != 0 {
-			h.Deadline = t.grantLease(now, m.bounds.Lease)
+			o.Deadline = t.grantLease(now, m.bounds.Lease)
 		}
 	}
 	t.pollPending, t.pollSentAt = true, now
-	m.commands = append(m.commands, Poll{Target: t.address(), Order: h, Class: t.class(limiter.Report), Sent: now})
+	m.commands = append(m.commands, Poll{Target: t.address(), Order: o, Class: t.class(limiter.Report), Sent: now})
 }
 
-// Polled takes in a target's report.
+// Polled applies a target's report; the caller calls it when a poll was answered.
 func (m *Machine) Polled(id string, p Poll, rep order.Report, now time.Time) {
 	t := m.targets[id]
 	if t == nil {
 		return
 	}
-	t.pollAnswered(p)
+	t.pollEnded(p)
 	m.considerPoll(t)
 	t.reportedAt = now
 	wasUnresponsive := !t.responsive()
@@ -152,7 +153,7 @@
 	t.updateClock(rep.Clock, now)
 	t.confirmedAck = max(t.confirmedAck, p.Order.Acked)
 	if t.reach != reachable {
-		m.log.Decided("target reports", "target", t.ID, "running", len(rep.Running), "ended", len(rep.Ended), "first", !t.reported)
+		m.log.Decided("target reachable", "target", t.ID, "running", len(rep.Running), "ended", len(rep.Ended), "first", !t.reported)
 		t.reach = reachable
 		if wasUnresponsive {
 			m.pollZone(t.Zone, now)
@@ -182,13 +183,13 @@
 		t.unsavedPollAt = now.Add(unsavedPause)
 	}
 	if len(rep.Running) > 0 && p.Order.Deadline == 0 && !t.pollPending {
-		m.sendPoll(t, 0, now) // its clock was not known: renew the lease at once
+		m.sendPoll(t, 0, now) // this poll renewed no lease, since the clock was not known
 	}
 	m.placementDue = true
 }
 
-// pollAnswered notes that a poll is no longer outstanding.
-func (t *target) pollAnswered(p Poll) {
+// pollEnded records that a poll is no longer outstanding.
+func (t *target) pollEnded(p Poll) {
 	if p.Extra {
 		t.extraPollPending = false
 	} else {
@@ -196,31 +197,30 @@
 	}
 }
 
-// maxListedEnds is the number of ends at which a report may have left some out.
+// maxListedEnds is the number of ends from which a report may be incomplete.
 const maxListedEnds = 500
 
-// releaseMissing gives up runs that the target was asked about and does not have: the
-// start or the stop was answered before the report was asked for, and it lists
-// neither the run nor its end.
-func (m *Machine) releaseMissing(t *target, listed map[order.Run]bool, asked, now time.Time) {
+// releaseMissing releases runs that the target does not have: their start or stop was
+// answered before the poll was sent, and the report lists neither the run nor its end.
+func (m *Machine) releaseMissing(t *target, listed map[order.Run]bool, polledAt, now time.Time) {
 	gone := t.runsWhere(func(r *run) bool {
-		return !listed[r.Run] && !r.orderAnsweredAt.IsZero() && r.orderAnsweredAt.Before(asked)
+		return !listed[r.Run] && !r.orderAnsweredAt.IsZero() && r.orderAnsweredAt.Before(polledAt)
 	})
 	for _, r := range gone {
 		m.log.Decided("run not on its target", "target", t.ID, "task", r.Task, "run", r.Number, "phase", int(r.phase))
 		m.release(r, now)
 		m.failIfAtMostOnce(r, now)
-		m.stopGang(r, "a member is gone", now)
+		m.stopGang(r, "a member is missing on its target", now)
 	}
 }
 
-// PollFailed takes in that a target did not report.
+// PollFailed records that a poll failed; the caller calls it with the error of the poll.
 func (m *Machine) PollFailed(id string, p Poll, err error, now time.Time) {
 	t := m.targets[id]
 	if t == nil {
 		return
 	}
-	t.pollAnswered(p)
+	t.pollEnded(p)
 	m.considerPoll(t)
 	switch {
 	case errors.Is(err, order.ErrFenced):
@@ -229,7 +229,7 @@
 	case errors.Is(err, order.ErrOtherIncarnation):
 		m.incarnationEnded(t, now)
 	case t.reportedAt.After(p.Sent):
-		// It answered another one since: only this one was lost.
+		// The target has answered another poll since: only this one was lost.
 	default:
 		m.targetMissed(t, p.missedSince(now), now)
 		m.markUnreachable(t, err, now)
@@ -237,20 +237,21 @@
 	m.placementDue = true
 }
 
-// markUnreachable notes that a target does not answer.
+// markUnreachable marks a target that did not answer as unreachable and delays its next
+// poll.
 func (m *Machine) markUnreachable(t *target, err error, now time.Time) {
 	t.nextPollAt = now.Add(pollRetryPause)
 	if t.reach == reachable {
 		t.reach, t.unreachableSince = unreachable, now
-		m.log.Decided("target silent", "target", t.ID, "runs", len(t.runs), "error", err.Error())
+		m.log.Decided("target unreachable", "target", t.ID, "runs", len(t.runs), "error", err.Error())
 		for _, r := range t.sortedRuns() {
 			m.releaseFirstEnded(r, now)
 		}
 	}
 }
 
-// fenced ends the term: another leader has given orders there with a higher
-// token.
+// fenced ends the term: the target has accepted orders of another leader with a higher
+// fencing token.
 func (m *Machine) fenced(t *target, step string) {
 	if !m.deposed {
 		m.log.Decided("deposed", "step", step, "target", t.ID, "term", m.term)
@@ -258,9 +259,10 @@
 	m.deposed = true
 }
 
-// incarnationEnded takes in that an incarnation has ended: nothing runs there any more.
+// incarnationEnded removes a target whose incarnation has ended: nothing runs there any
+// more.
 func (m *Machine) incarnationEnded(t *target, now time.Time) {
-	m.log.Decided("target's life is over", "target", t.ID, "runs", len(t.runs))
+	m.log.Decided("target incarnation ended", "target", t.ID, "runs", len(t.runs))
 	m.releaseAll(t, now)
 	t.listed = false
 	delete(m.targets, t.ID)
@@ -276,8 +278,8 @@
 	}
 }
 
-// advanceAcked moves on what may be acknowledged: ends in their order, up to the
-// first whose progress is not saved.
+// advanceAcked advances the number up to which ends may be acknowledged: to the last
+// before the first end whose progress is not saved.
 func (t *target) advanceAcked(now time.Time) {
 	n := 0
 	for n < len(t.unsavedEnds) && t.unsavedEnds[n].saved() {
