--- a/internal/work/dispatch/reachability.go
+++ b/internal/work/dispatch/reachability.go
@@ -2,25 +2,28 @@
 
 import "time"
 
-// A target that is cut off is known to be silent only when its poll has timed out,
-// seconds later; an idle one has none. What is placed there meanwhile waits until the
-// cut is over, or until every lease has lapsed, since the order may have been carried
-// out. So one order without an answer closes a target until it answers anything; and
-// where several targets of a zone have missed orders, the zone is taken to be cut off:
-// its other targets are asked, and get work when they have answered.
+// When the network to a target fails, its poll shows that only by its timeout, seconds
+// later, and an idle target has no poll outstanding. Work that is placed there meanwhile
+// waits until the target is reachable again or every lease has lapsed, since the orders
+// may have been executed. So a single unanswered order suspends placement on a target
+// until it answers anything. If several targets of a zone have missed orders, the zone is
+// considered unreachable: its other targets are polled, and get work after they have
+// answered.
 
-// minUnansweredTargets is how many targets of a zone must have missed an order, with nothing
-// heard from the zone since, for it to be taken as cut off: one may have crashed.
+// minUnansweredTargets is how many targets of a zone must have missed an order since the
+// zone's last answer for it to be considered unreachable: a single one may have crashed.
 const minUnansweredTargets = 2
 
-// minZoneSilence is how long a zone is silent at least if it is cut off: of a busy zone
-// something is heard every few milliseconds, also while several of its targets crash.
-const minZoneSilence = 300 * time.Millisecond
+// zoneAnswerTimeout is how long no target of a zone must have answered for it to be
+// considered unreachable. Some target of a busy zone answers every few milliseconds, even
+// while several of them crash.
+const zoneAnswerTimeout = 300 * time.Millisecond
 
-// responsive reports whether the target answers, as far as is known.
+// responsive reports whether the target has answered the last orders, as far as is known,
+// and its zone is not considered unreachable.
 func (t *target) responsive() bool { return t.unansweredSince.IsZero() && !t.zoneUnreachable }
 
-// targetAnswered notes that a target answered.
+// targetAnswered records that a target has answered.
 func (m *Machine) targetAnswered(t *target, now time.Time) {
 	t.answeredAt = now
 	if t.responsive() {
@@ -31,7 +34,7 @@
 	m.placementDue = true
 }
 
-// targetMissed notes that a target did not answer what was sent at a time.
+// targetMissed records that a target did not answer what was sent at a time.
 func (m *Machine) targetMissed(t *target, sent, now time.Time) {
 	if !t.unansweredSince.IsZero() || !t.answeredAt.Before(sent) {
 		return
@@ -40,7 +43,8 @@
 	m.checkZoneReachable(t.Zone, now)
 }
 
-// checkZonesReachable decides on the zones that may have been silent for long enough by now.
+// checkZonesReachable checks the zones with unanswered orders, for which
+// zoneAnswerTimeout may have passed by now.
 func (m *Machine) checkZonesReachable(now time.Time) {
 	zones := map[string]bool{}
 	for _, t := range m.sortedTargets {
@@ -53,8 +57,8 @@
 	}
 }
 
-// checkZoneReachable decides whether a zone seems to be cut off. What was missed before something
-// was heard of the zone tells nothing of it.
+// checkZoneReachable decides whether a zone is considered unreachable. Orders that were
+// missed before the last answer from the zone do not count.
 func (m *Machine) checkZoneReachable(zone string, now time.Time) {
 	var unansweredSince []time.Time
 	var lastAnswerAt time.Time
@@ -75,10 +79,10 @@
 			unanswered++
 		}
 	}
-	unreachable := unanswered >= minUnansweredTargets && now.Sub(lastAnswerAt) >= minZoneSilence
+	unreachable := unanswered >= minUnansweredTargets && now.Sub(lastAnswerAt) >= zoneAnswerTimeout
 	for _, t := range m.sortedTargets {
 		if t.Zone == zone && t.unansweredSince.IsZero() {
-			t.zoneUnreachable = unreachable // the next tick asks it
+			t.zoneUnreachable = unreachable // the next tick polls it
 		}
 	}
 }
--- a/internal/work/dispatch/reachability_test.go
+++ b/internal/work/dispatch/reachability_test.go
@@ -11,7 +11,7 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// disconnectZone loses what is sent to a zone's targets from now on.
+// disconnectZone drops all commands to a zone's targets from now on.
 func (d *simulation) disconnectZone(zone string) {
 	disconnected := map[string]bool{}
 	for _, t := range d.m.sortedTargets {
@@ -20,11 +20,11 @@
 	d.dropCommand = func(c Command) bool { return disconnected[targetOf(c)] }
 }
 
-// A zone is cut off while some of its targets are idle: no poll is outstanding there
-// that could time out. Urgent gangs come one after another. Users would see each of
-// them take an idle rack of that zone and wait until the cut is over, since an order
-// without an answer may have been carried out. Once two targets have missed an order
-// the zone gets nothing more, and when it is back it gets work again.
+// A zone becomes unreachable while some of its targets are idle, so no poll is
+// outstanding there that could time out. Urgent gangs come one after another. Each would
+// be placed on an idle rack of that zone and wait until the zone is reachable again,
+// since an unanswered order may have been executed. Once two targets have missed an order
+// the zone must get nothing more, and must get work again when it is back.
 func TestUnreachableZoneGetsNoWork(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 3, 4, DefaultBounds())
@@ -51,10 +51,11 @@
 	d.check()
 }
 
-// A zone is cut off with resets: the reports that wait at its busy targets fail at once. They
-// were asked for before the zone was last heard of, so they counted for nothing, and kept
-// the misses that came after them from counting: for five seconds its idle targets got
-// urgent gangs, and each waited until the cut was over.
+// A zone becomes unreachable with connection resets: the polls that wait at its busy
+// targets fail at once. They were sent before the zone's last answer. If they did not
+// count as missed for that reason, they would also keep later misses of these targets
+// from counting: for five seconds idle targets of the zone would get urgent gangs, and
+// each would wait until the zone is reachable again.
 func TestBrokenPollsRevealUnreachableZone(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 3, 8, DefaultBounds())
@@ -84,8 +85,9 @@
 	d.check()
 }
 
-// Two busy targets of a zone crash at once, and another of it was heard of a moment ago: the
-// zone is not closed, and a gang that is placed just then starts there.
+// Two busy targets of a zone crash at once, and another one there answered a moment ago:
+// the zone is not considered unreachable, and a gang that is placed just then starts
+// there.
 func TestTargetCrashesDoNotCloseBusyZone(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 8, DefaultBounds())
@@ -110,10 +112,9 @@
 	d.check()
 }
 
-// A zone is back after a cut. The polls of its targets were sent into the cut and are
-// waited for until their time-outs, which a leader that takes its orders' delays into
-// account makes long; what has ended there was told that much later. The first target that
-// answers has all others asked at once.
+// A zone is reachable again. The polls of its targets were sent before and have long
+// timeouts at a leader that allows for the delays of its orders, so ends there would be
+// learned that much later. The first target that answers has all others polled at once.
 func TestZoneIsPolledWhenReachableAgain(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 3, 4, DefaultBounds())
@@ -126,8 +127,8 @@
 	}
 	first := d.m.sortedTargets[0].ID
 	d.dropCommand = func(c Command) bool {
-		h, poll := c.(Poll)
-		return lost[targetOf(c)] && (!poll || !h.Extra) // what was sent into the cut is lost
+		p, poll := c.(Poll)
+		return lost[targetOf(c)] && (!poll || !p.Extra) // what was sent while disconnected is lost
 	}
 	d.run(4 * time.Second)
 	is.Equal(d.m.targets[first].reach, unreachable)
@@ -146,8 +147,8 @@
 	d.check()
 }
 
-// One target of a zone crashes, and the others there are idle. They are not taken for
-// cut off: a job that needs the whole zone's rack, less the one, starts at once.
+// One target of a zone crashes while the others there are idle. These are not considered
+// unreachable: a job that needs all of them starts at once.
 func TestOneUnreachableTargetDoesNotCloseZone(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 4, DefaultBounds())
@@ -164,8 +165,9 @@
 	d.check()
 }
 
-// Two targets of a zone crash at once while the others there are idle. The zone seems to
-// be cut off; its other targets are asked, and get work as soon as they have answered.
+// Two targets of a zone crash at once while the others there are idle. The zone is
+// considered unreachable; its other targets are polled, and get work as soon as they have
+// answered.
 func TestIdleTargetsArePolledWhenZoneSeemsUnreachable(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 5, DefaultBounds())
@@ -183,7 +185,7 @@
 }
 
 // The answer to one start is lost. The target gets nothing more until it has answered
-// something, which an extra poll asks for at once.
+// something; an extra poll is sent to it at once.
 func TestTargetIsPolledAfterLostAnswer(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 1, DefaultBounds())
@@ -200,9 +202,9 @@
 	d.check()
 }
 
-// A new leader's first polls are on their way to all targets of a zone when the first answer
-// comes. Asked a second time, with as many new connections, they kept a leader of thousands
-// of targets busy just when it had to catch up.
+// A new leader's first polls are under way to all targets of a zone when the first answer
+// comes. Polling them a second time, each over a new connection, would keep a leader of
+// thousands of targets busy just when it has to catch up.
 func TestNewLeaderPollsEachTargetOnce(t *testing.T) {
 	is := is.New(t)
 	m, now := New(2, DefaultBounds()), time.Unix(1000, 0)
