--- a/internal/work/dispatch/attempts.go
+++ b/internal/work/dispatch/attempts.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// attempts is what became of the runs of a task or, of a gang, of its step. The zero
-// value is that of one that was never started.
+// attempts records the outcomes of the runs of a task or, for a gang, of its step. The
+// zero value is that of a task that was never started.
 type attempts struct {
-	failed         []int                // numbers of the runs that failed
-	avoidedTargets map[string]time.Time // targets on which it had better not run: when it failed there; zero: it only stood still or was slow
-	uncertain      map[int]time.Time    // runs that ended in a way that is not known: until when their targets may still tell
-	earlyFailureAt time.Time            // when a run failed last so early that it speaks against its target; zero: none did
+	failed         []int                // numbers of the failed runs
+	avoidedTargets map[string]time.Time // targets to avoid, and when a run failed there; zero: it was only moved away
+	uncertain      map[int]time.Time    // runs that ended with unknown outcome, and until when it may still be reported
+	earlyFailureAt time.Time            // last failure so early that it is evidence against the target; zero: none
 }
 
-// attempts returns the attempts that count for a task: its own, or its gang's.
+// attempts returns the attempts that count for a task: its own, or those of its gang.
 func (x *task) attempts() *attempts {
 	if x.step.spec.Gang {
 		return &x.step.gangAttempts
@@ -22,8 +22,8 @@
 	return &x.ownAttempts
 }
 
-// recordFailure notes that a run failed on a target. It reports whether that is new: an end is
-// listed again to a new leader, and a gang's run may fail in several members.
+// recordFailure records that a run failed on a target and reports whether that is new.
+// Ends are listed again to a new leader, and a gang's run may fail in several members.
 func (a *attempts) recordFailure(run int, t *target, now time.Time) bool {
 	if slices.Contains(a.failed, run) {
 		return false
@@ -34,7 +34,8 @@
 	return true
 }
 
-// recordUncertain notes that a run has ended, and that it may turn out until a time that it failed.
+// recordUncertain records that a run has ended, and that a failure of it may still be
+// reported until a time.
 func (a *attempts) recordUncertain(run int, until time.Time) {
 	if a.uncertain == nil {
 		a.uncertain = map[int]time.Time{}
@@ -42,8 +43,8 @@
 	a.uncertain[run] = until
 }
 
-// maxFailed returns how many runs may have failed: a start after the last attempt
-// failed would be one too many, also if that end is listed only later.
+// maxFailed returns how many runs may have failed. It includes those whose failure may be
+// reported only later: if that was the last attempt, another start would be one too many.
 func (a *attempts) maxFailed(now time.Time) int {
 	n := len(a.failed)
 	for run, until := range a.uncertain {
@@ -54,7 +55,7 @@
 	return n
 }
 
-// avoid notes that it had better not run on a target again.
+// avoid marks a target as one to avoid for further runs.
 func (a *attempts) avoid(t *target) {
 	if a.avoidedTargets == nil {
 		a.avoidedTargets = map[string]time.Time{}
@@ -64,37 +65,37 @@
 	}
 }
 
-// avoids reports whether it had better not run on a target.
+// avoids reports whether further runs are to avoid a target.
 func (a *attempts) avoids(t *target) bool {
 	_, ok := a.avoidedTargets[t.ID]
 	return ok
 }
 
-// Figures of targets on which a task may spend its next attempt.
+// Rules for where a task may spend its next attempt.
 const (
-	// excludeTime is how long a task is kept from a target on which it failed, unless
-	// something that began there since has gone well: troubles of targets pass within
-	// some seconds, and a task that has nowhere else to go must run at last.
+	// excludeTime is how long a task is kept from a target on which it failed, unless a
+	// run that began there since has gone well. Faults of targets pass within some
+	// seconds, and a task that no other target can take must run eventually.
 	excludeTime = 15 * time.Second
-	// provenTime is how long a target counts as sound after the begin of a run that
-	// went well: shorter than the troubles of targets last, and about as long as a run
+	// provenTime is how long a target counts as healthy after the start of a run that
+	// went well. It is shorter than faults of targets last, and about as long as a run
 	// takes, so that a busy target stays proven.
 	provenTime = 4 * time.Second
-	// lastAttemptWait is how long a last attempt waits for a target on which something has
-	// gone well that began since the task failed early. By then each target that got
-	// work has reported: a poll takes two seconds at most.
+	// lastAttemptWait is how long a last attempt waits for a target on which a run has
+	// gone well that began since the task failed early. Each target that got work has
+	// reported by then: a poll takes two seconds at most.
 	lastAttemptWait = maxPollWait + 200*time.Millisecond
 )
 
-// isLast reports whether a task that failed before has one attempt left of so many.
+// isLast reports whether a task that failed before has one attempt left of maxAttempts.
 func (a *attempts) isLast(maxAttempts int) bool {
 	return len(a.failed) > 0 && len(a.failed) == maxAttempts-1
 }
 
-// excludes reports whether a task must not run on a target yet. One that failed there a
-// moment ago would spend its next attempt in the same way. When several targets begin
-// to fail what they start, none of the others is known by then: so a last attempt
-// waits for one that has been proven since.
+// excludes reports whether a task must not run on a target yet. On a target where it
+// failed a moment ago it would probably fail again. When several targets begin to fail
+// their runs, the others among them are not known yet: so a last attempt waits for a
+// target that has been proven since.
 func (x *task) excludes(t *target, now time.Time) bool {
 	a := x.attempts()
 	if failed := a.avoidedTargets[t.ID]; !failed.IsZero() && now.Sub(failed) < excludeTime && !t.health.ProvenSince(failed) {
@@ -103,6 +104,6 @@
 	return x.onLastAttempt() && !a.earlyFailureAt.IsZero() && now.Sub(a.earlyFailureAt) < lastAttemptWait && !t.health.ProvenSince(a.earlyFailureAt)
 }
 
-// onLastAttempt reports whether the job ends if the task fails once more, having failed
-// before.
+// onLastAttempt reports whether the task has failed before and another failure ends its
+// job.
 func (x *task) onLastAttempt() bool { return x.attempts().isLast(x.step.job.spec.MaxAttempts) }
--- a/internal/work/dispatch/health.go
+++ b/internal/work/dispatch/health.go
@@ -6,14 +6,14 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// A target may fail all that it starts, and each failure costs a task one of its
-// few attempts: one that does so within 40 ms ends any number of jobs in a second
-// if it is given work as soon as it is free again. So a target that was condemned
-// is tried with one run at a time, until one that began since has gone well.
+// A target may fail every run that it starts, and each failure costs a task one of its
+// few attempts. A target that fails them within 40 ms would end any number of jobs in a
+// second if it got work whenever it is free. So a target that was quarantined gets one
+// run at a time, until one that began after the quarantine has gone well.
 
-// timeWorked returns how long a run has worked, as far as it can be told: a gang works
-// from the moment when all members are there, and a run that resumes when it has
-// restored its checkpoint. Of a run that is not known it is all of its time.
+// timeWorked returns how long a run has worked, as far as is known: a gang works once all
+// its members have begun, and a run that resumes once its checkpoint is restored. For a
+// run of which nothing is known it returns unknownWork.
 func (m *Machine) timeWorked(r *run, now time.Time) time.Duration {
 	if r == nil || r.beganAt.IsZero() {
 		return unknownWork
@@ -35,11 +35,12 @@
 	return max(worked, 0)
 }
 
-// unknownWork stands for the time that a run has worked of which nothing is known: its
-// failure is no sign of haste.
+// unknownWork is the time worked that is assumed for a run of which nothing is known: its
+// failure must not count as early.
 const unknownWork = 1<<63 - 1
 
-// recordHealthyRun takes in that a run which goes on speaks for its target.
+// recordHealthyRun counts a run that makes progress as evidence that its target is
+// healthy.
 func (m *Machine) recordHealthyRun(r *run, now time.Time) {
 	if r.provedHealthy || r.phase != running || r.task.step.spec.LongRunning || !r.allMembersRunning() {
 		return
@@ -47,8 +48,9 @@
 	r.provedHealthy = r.target.health.ObserveProgress(r.beganAt, m.timeWorked(r, now), r.task.step.spec.Estimate, now)
 }
 
-// excludedByProbation reports whether a target on trial may not have a task of the step: it
-// has its one run already, or the step is a gang, which fails whole with one member.
+// excludedByProbation reports whether a target on probation may not get a task of the
+// step: it has its one run already, or the step is a gang, which fails as a whole if one
+// member fails.
 func (t *target) excludedByProbation(s *step, now time.Time) bool {
 	if !t.health.OnProbation(now) {
 		return false
@@ -64,12 +66,12 @@
 	return false
 }
 
-// maxFailedTargets is on how many targets a step may fail and still speak against each:
-// one that fails on more is itself at fault, and must not have sound targets
-// condemned one after the other.
+// maxFailedTargets is on how many targets a step may fail and still count as evidence
+// against each: a step that fails on more is itself at fault, and must not get healthy
+// targets quarantined one after the other.
 const maxFailedTargets = 3
 
-// recordFailedTarget notes that a task of the step failed on a target.
+// recordFailedTarget records that a task of the step failed on a target.
 func (s *step) recordFailedTarget(t *target) {
 	if s.failedTargets == nil {
 		s.failedTargets = map[string]bool{}
@@ -77,12 +79,12 @@
 	s.failedTargets[t.ID] = true
 }
 
-// implicatesTargets reports whether the step's failures tell something of targets.
+// implicatesTargets reports whether the step's failures are evidence against its targets.
 func (s *step) implicatesTargets() bool { return len(s.failedTargets) <= maxFailedTargets }
 
-// logIfQuarantined tells of a target that was condemned by a sign that was just taken in.
+// logIfQuarantined logs that the evidence just recorded has quarantined a target.
 func (m *Machine) logIfQuarantined(t *target, wasQuarantined bool, reason string, id graph.TaskID, now time.Time) {
 	if !wasQuarantined && t.health.Quarantined(now) {
-		m.log.Decided("target condemned", "target", t.ID, "reason", reason, "task", id, "runs", len(t.runs))
+		m.log.Decided("target quarantined", "target", t.ID, "reason", reason, "task", id, "runs", len(t.runs))
 	}
 }
--- a/internal/work/dispatch/health_test.go
+++ b/internal/work/dispatch/health_test.go
@@ -10,7 +10,8 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// setFailingTargets has every sixth target fail all that it starts from now on, or end it.
+// setFailingTargets makes every sixth target fail each run that it starts from now on, or
+// stops that.
 func (d *simulation) setFailingTargets(on bool) {
 	for i, t := range d.m.sortedTargets {
 		if i%6 == 0 {
@@ -19,7 +20,7 @@
 	}
 }
 
-// countCompleted returns how many of the jobs were completed.
+// countCompleted returns how many of the jobs have completed.
 func (d *simulation) countCompleted(ids []graph.JobID) int {
 	n := 0
 	for _, id := range ids {
@@ -30,10 +31,10 @@
 	return n
 }
 
-// Some targets fail all that they start within some tens of milliseconds, so they are
-// free again at once and attract what waits. Wide steps come whose tasks have two
-// attempts: a task loses one there and must not spend the other in the same way. Users
-// would see jobs end as failed a tenth of a second after they were handed in.
+// Some targets fail every run within some tens of milliseconds, so they are free again at
+// once and attract pending work. Wide steps come whose tasks have two attempts. A task
+// that lost one attempt there must not spend the other in the same way; otherwise jobs
+// fail a tenth of a second after they are submitted.
 func TestFailingTargetsDoNotFailWideJobs(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 3, 6, DefaultBounds())
@@ -52,8 +53,8 @@
 	d.check()
 }
 
-// The same targets are met by urgent gangs, of which one member there ends the whole
-// run. The next attempt must not go back to the target that failed the last.
+// Urgent gangs meet the same failing targets, and one member there ends the whole run.
+// The next attempt must not go back to the target that failed the last.
 func TestFailingTargetsDoNotFailGangs(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 3, 6, DefaultBounds())
@@ -70,8 +71,8 @@
 	d.check()
 }
 
-// A target fails all that it starts, but goes on with what it had started before. What
-// ends well there meanwhile must not make it look sound.
+// A target fails all that it starts, but continues the runs that it had started before.
+// Those that end well meanwhile must not make it appear healthy.
 func TestOldRunsAreNoEvidenceOfHealth(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
@@ -93,8 +94,8 @@
 	d.check()
 }
 
-// A target that was condemned is well again. It gets one run at a time until one has
-// gone well, and then as many as it has room for.
+// A target that was quarantined is healthy again. It gets one run at a time until one has
+// gone well, and then as many as it has capacity for.
 func TestProbationAllowsOneRun(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 1, DefaultBounds())
@@ -114,8 +115,8 @@
 	d.check()
 }
 
-// A job that can never be done fails at once wherever it runs. It is itself at fault
-// then, and does not have one target condemned after the other.
+// A job fails at once wherever it runs. It is itself at fault then, and must not get one
+// target quarantined after the other.
 func TestFailingJobDoesNotQuarantineAllTargets(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 2, 6, DefaultBounds())
@@ -135,8 +136,8 @@
 	is.True(quarantined <= maxFailedTargets)
 }
 
-// The only other target is full for long, and the one that failed a task is no longer
-// condemned. The task has one attempt left: it waits, and does not go back.
+// The only other target stays full for long, and the one that failed a task is no longer
+// quarantined. The task has one attempt left: it waits, and does not go back.
 func TestTaskDoesNotReturnToFailingTarget(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
@@ -159,9 +160,9 @@
 	d.check()
 }
 
-// A task has failed once and has one attempt left. It waits for a while for a target on
-// which something goes well that began since, and goes then to one on which that was so
-// a moment ago, though another fits it better of which nothing is known.
+// A task has failed once and has one attempt left. It waits a while for a target on which
+// a run goes well that began since. Then it goes to a target on which a run went well a
+// moment ago, though a target without evidence fits it better.
 func TestLastAttemptPrefersProvenTarget(t *testing.T) {
 	is := is.New(t)
 	d, x := newLastAttempt(t)
@@ -176,8 +177,8 @@
 	d.check()
 }
 
-// The same, and meanwhile work that began after the failure goes well on a target: the
-// task need not wait any longer.
+// As above, but a run that began after the failure goes well on a target meanwhile: the
+// task does not wait any longer.
 func TestLastAttemptUsesNewlyProvenTarget(t *testing.T) {
 	is := is.New(t)
 	d, x := newLastAttempt(t)
@@ -191,8 +192,8 @@
 	d.check()
 }
 
-// newLastAttempt returns a drive with three targets, of which the first has failed
-// early the first of two attempts of a task.
+// newLastAttempt returns a simulation with three targets and a task with two attempts, of
+// which the first has failed early on the first target.
 func newLastAttempt(t *testing.T) (*simulation, *task) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 3, DefaultBounds())
