--- a/internal/work/dispatch/straggler_test.go
+++ b/internal/work/dispatch/straggler_test.go
@@ -19,9 +19,8 @@
 	return ""
 }
 
-// The tasks on a target stand still while it reports itself well. What can be
-// resumed is moved after some reports without progress, and the target gets no
-// new work.
+// The runs on a target stall while it reports itself well. A run with checkpoints is
+// moved after some reports without progress, and the target gets no new work.
 func TestStalledRunIsMoved(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 4, DefaultBounds())
@@ -40,8 +39,8 @@
 	d.check()
 }
 
-// A run that cannot be resumed is left for some seconds, since standstills pass;
-// one that lasts is given up in the end.
+// A stalled run without checkpoints is left for some seconds, since most stalls pass, and
+// is given up if the stall lasts.
 func TestLongStallIsGivenUp(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
@@ -57,8 +56,8 @@
 	d.check()
 }
 
-// A target runs its tasks ten times slower. A run that can be resumed is moved,
-// and ends long before it would have there.
+// A target slows its runs down ten times. A run with checkpoints is moved, and ends long
+// before it would have there.
 func TestStragglerIsMoved(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
@@ -72,8 +71,8 @@
 	d.check()
 }
 
-// Two jobs lose a run each on the same target, which fails all that it starts:
-// from then on it gets none. Each job fails there once, and not to its end.
+// Two jobs lose a run each on a target that fails every run: from then on it gets none.
+// Each job fails there once, and does not end as failed.
 func TestFailingTargetIsAvoided(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 3, DefaultBounds())
@@ -92,7 +91,7 @@
 	d.check()
 }
 
-// A target leaves before a long run there would end. What can be resumed is moved
+// A target will leave before a long run there would end. A run with checkpoints is moved
 // at once.
 func TestRunIsMovedOffDrainingTarget(t *testing.T) {
 	is := is.New(t)
