--- a/internal/work/dispatch/warmup.go
+++ b/internal/work/dispatch/warmup.go
@@ -6,12 +6,12 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// A target that has just started is slow for a time that it declares. Whole zones come
-// back so after an evacuation or a power loss; filled at once, they would hold all work
-// up that sound targets could do. So such a target gets a share of its capacity that
-// grows to the whole while it warms up, and work goes to warm targets first.
+// A target that has just started is slow for a time that it declares. Whole zones start
+// anew after an evacuation or a power loss; filled at once, they would delay all the work
+// that other targets could do. So the usable share of such a target's capacity grows to
+// the whole while it warms up, and warm targets get work first.
 
-// startWarmUp takes in how long a target says that it is still slow.
+// startWarmUp records for how many milliseconds a target declares to be slow.
 func (t *target) startWarmUp(cold int64, now time.Time) {
 	span := time.Duration(cold) * time.Millisecond
 	t.warmUpEnd = now.Add(span)
@@ -19,7 +19,8 @@
 	t.updateWarmUp(now)
 }
 
-// updateWarmUp brings the share of the target's capacity up to date that may be used.
+// updateWarmUp updates the share of the target's capacity that is withheld while it warms
+// up.
 func (t *target) updateWarmUp(now time.Time) {
 	left := t.warmUpEnd.Sub(now)
 	if t.warmUpTime <= 0 || left <= 0 {
@@ -32,8 +33,8 @@
 // cold reports whether the target is still slow after its start.
 func (t *target) cold() bool { return t.coldShare > 0 }
 
-// usableCapacity returns what of the target's capacity may be used. One that has nothing to do
-// may always be given something.
+// usableCapacity returns the part of the target's capacity that may be used. A target
+// without runs may always be given some.
 func (t *target) usableCapacity() graph.Resources {
 	if !t.cold() || len(t.runs) == 0 {
 		return t.Capacity
--- a/internal/work/dispatch/warmup_test.go
+++ b/internal/work/dispatch/warmup_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// restartRack has a rack's targets start anew, slow for a while.
+// restartRack restarts the targets of a rack, which are cold for a while.
 func (d *simulation) restartRack(rack string, cold time.Duration) {
 	list := d.p.Roster()
 	for i := range list {
@@ -19,8 +19,8 @@
 	d.decide()
 }
 
-// A zone's targets come back cold and are the only ones. Filled at once, they would slow
-// all that waits; they get more as they warm up, and the whole when they are warm.
+// All targets start anew and are cold. Filled at once, they would slow all pending work
+// down; they get more as they warm up, and their whole capacity when they are warm.
 func TestColdTargetsFillAsTheyWarmUp(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
@@ -36,7 +36,7 @@
 	is.Equal(d.p.Starts(), 16)
 }
 
-// Warm targets have room: cold ones get nothing.
+// Warm targets have capacity, so cold ones get nothing.
 func TestWarmTargetsArePreferred(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 2, 2, DefaultBounds())
