--- a/internal/work/dispatch/evacuation.go
+++ b/internal/work/dispatch/evacuation.go
@@ -7,9 +7,9 @@
 	"guavaglade.example/guavaglade/internal/fleet/evacuation"
 )
 
-// SetEvacuated tells which availability zones are evacuated. Starts there that were
-// not sent are given up, with the other members of their gangs, and placed elsewhere;
-// what runs there may end.
+// SetEvacuated sets which availability zones are evacuated; the caller calls it before
+// each decision. Starts there that were not sent are dropped, with the other members of
+// their gangs, and placed elsewhere; what runs there may end.
 func (m *Machine) SetEvacuated(s evacuation.Status, now time.Time) {
 	before := m.evacuated
 	m.evacuated = s
@@ -40,7 +40,7 @@
 		targets++
 		for _, r := range t.runsWhere(func(r *run) bool { return r.phase == awaitingCapacity || r.phase == recorded }) {
 			if t.runs[r.Run] != r {
-				continue // given up with another member of its gang
+				continue // dropped with another member of its gang
 			}
 			unsent++
 			m.dropUnsent(r, "its zone is evacuated", now)
@@ -61,31 +61,31 @@
 	m.log.Decided("zone restored", "zone", zone, "targets", targets)
 }
 
-// dropUnsent gives up a run whose start was not sent, and with it its gang.
+// dropUnsent drops a run whose start was not sent, and the other members of its gang.
 func (m *Machine) dropUnsent(r *run, reason string, now time.Time) {
 	m.log.Decided("run given up before it was sent", "target", r.target.ID, "task", r.Task, "run", r.Number, "reason", reason)
 	m.release(r, now)
 	m.stopGang(r, "a member was given up: "+reason, now)
 }
 
-// evacuationsAreCurrent reports whether what is known of evacuations is new enough to start
-// anything. A leader that no longer hears of them must not start work in a zone that
-// was evacuated meanwhile.
+// evacuationsAreCurrent reports whether the evacuation status is recent enough to start
+// anything. A leader that receives no updates must not start work in a zone that was
+// evacuated meanwhile.
 func (m *Machine) evacuationsAreCurrent(now time.Time) bool {
 	return m.bounds.MaxEvacuationAge == 0 || now.Sub(m.evacuated.AsOf) <= m.bounds.MaxEvacuationAge
 }
 
-// stateIsCurrent reports whether what is known of targets and zones is new enough to start
-// anything.
+// stateIsCurrent reports whether the list of targets and the evacuation status are recent
+// enough to start anything.
 func (m *Machine) stateIsCurrent(now time.Time) bool {
 	return m.listIsCurrent(now) && m.evacuationsAreCurrent(now)
 }
 
-// acceptsStarts reports whether starts may be sent to the target, as far as operators and
-// the target itself say.
+// acceptsStarts reports whether starts may be sent to the target: it is not draining, and
+// its zone is not evacuated.
 func (t *target) acceptsStarts() bool { return !t.Draining && !t.evacuated }
 
-// usableAccelerators returns the accelerators of the targets that may get work.
+// usableAccelerators returns the number of accelerators on targets that may get work.
 func (m *Machine) usableAccelerators() int {
 	n := 0
 	for _, t := range m.sortedTargets {
@@ -96,7 +96,7 @@
 	return n
 }
 
-// totalGuaranteed returns the accelerators that are guaranteed to all accounts together.
+// totalGuaranteed returns the number of accelerators guaranteed to all accounts together.
 func (m *Machine) totalGuaranteed() int {
 	n := 0
 	for _, amount := range m.guaranteed {
@@ -105,21 +105,21 @@
 	return n
 }
 
-// Guarantees returns the accelerators that are guaranteed to all accounts together, and
-// those of the targets that may get work.
+// Guarantees returns the number of accelerators guaranteed to all accounts together, and
+// of those on targets that may get work; the caller calls it for metrics.
 func (m *Machine) Guarantees() (guaranteed, usable int) {
 	return m.totalGuaranteed(), m.usableAccelerators()
 }
 
-// checkGuarantees tells when the guarantees cease to fit in the room that may be used,
-// and when they fit again.
+// checkGuarantees logs when the guarantees cease to fit in the usable capacity, and when
+// they fit again.
 func (m *Machine) checkGuarantees() {
 	guaranteed, usable := m.totalGuaranteed(), m.usableAccelerators()
 	if exceeded := guaranteed > usable; exceeded != m.guaranteesExceeded {
 		m.guaranteesExceeded = exceeded
 		message := "guarantees fit again"
 		if exceeded {
-			message = "guarantees exceed the room that may be used"
+			message = "guarantees exceed the usable capacity"
 		}
 		m.log.Decided(message, "guaranteed", guaranteed, "usable", usable, "evacuated", slices.Clone(m.evacuated.Zones))
 	}
--- a/internal/work/dispatch/evacuation_test.go
+++ b/internal/work/dispatch/evacuation_test.go
@@ -14,7 +14,7 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// evacuate has the machine learn that just these zones are evacuated.
+// evacuate tells the machine that exactly these zones are evacuated.
 func (d *simulation) evacuate(zones ...string) {
 	d.m.SetEvacuated(evacuation.Status{AsOf: d.now}.With(zones...), d.now)
 	d.decide()
@@ -30,10 +30,10 @@
 	return n
 }
 
-// countLogged returns how many decisions had such a line.
-func (d *simulation) countLogged(what string) (n int) {
+// countLogged returns how many log lines contain a text.
+func (d *simulation) countLogged(text string) (n int) {
 	for _, l := range d.log {
-		if strings.Contains(l, what) {
+		if strings.Contains(l, text) {
 			n++
 		}
 	}
@@ -41,8 +41,8 @@
 }
 
 // A zone is evacuated, restored and evacuated again while work comes: nothing starts
-// there meanwhile, and what runs there ends by itself.
-func TestNothingStartsInAnEvacuatedZone(t *testing.T) {
+// there while it is evacuated, and runs there end by themselves.
+func TestNothingStartsInEvacuatedZone(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 3, 2, DefaultBounds())
 	first := d.submit(2, 4*time.Second, small(40)) // in all zones
@@ -66,8 +66,8 @@
 	d.check()
 }
 
-// A zone is evacuated while starts there are being saved on a slow store: they are given
-// up at once and placed elsewhere, and not only once the store has answered.
+// A zone is evacuated while starts there are being saved on a slow store: they are
+// dropped at once and placed elsewhere, without waiting for the store.
 func TestZoneIsEvacuatedWhileStartsAreSaved(t *testing.T) {
 	for name, step := range map[string]graph.Step{"tasks": small(12), "gang": urgent(3, 8)} {
 		t.Run(name, func(t *testing.T) {
@@ -91,8 +91,8 @@
 	}
 }
 
-// A start waited for its turn in the host until its zone was evacuated, and was not
-// sent: the task goes elsewhere at once, and the target does not count as silent.
+// A start waits for its turn in the host until its zone is evacuated, and is not sent:
+// the task goes elsewhere at once, and the target does not count as unresponsive.
 func TestWithheldStartIsPlacedElsewhere(t *testing.T) {
 	is := is.New(t)
 	s := &fixture{Machine: New(7, DefaultBounds()), now: time.Unix(1000, 0)}
@@ -117,9 +117,9 @@
 	is.True(second[0].Zone != first[0].Zone)
 }
 
-// A start has no answer, and its zone is evacuated before it would be sent again: it may
-// have been carried out, so the run is stopped, and the start is not repeated.
-func TestStartIsNotRepeatedInAnEvacuatedZone(t *testing.T) {
+// A start gets no answer, and its zone is evacuated before it would be sent again. It may
+// have been executed, so the run is stopped and the start is not repeated.
+func TestStartIsNotRepeatedInEvacuatedZone(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 2, 1, DefaultBounds())
 	d.evacuate("z1")
@@ -142,8 +142,9 @@
 	d.check()
 }
 
-// A leader has not heard of operators for as long as an evacuation may take to be in
-// force, and a zone may have been evacuated meanwhile: it starts nothing until it hears.
+// A leader has received no evacuation status for as long as an evacuation may take to be
+// in force, so a zone may have been evacuated meanwhile: it starts nothing until it
+// receives one.
 func TestNothingStartsOnStaleEvacuationStatus(t *testing.T) {
 	is := is.New(t)
 	b := DefaultBounds()
@@ -162,8 +163,8 @@
 	d.check()
 }
 
-// A target registers in a zone that is evacuated, and a new leader learns of the
-// evacuation before it has listed any target: neither starts anything there.
+// A target registers in an evacuated zone, and a new leader learns of the evacuation
+// before it has listed any target: nothing starts there in either case.
 func TestNewTargetsInEvacuatedZoneGetNoWork(t *testing.T) {
 	is := is.New(t)
 	m := New(1, DefaultBounds())
@@ -175,8 +176,8 @@
 	is.Equal(m.targets["a"].describe(now), "unheld")
 }
 
-// So much is evacuated that the guarantees do not fit in the rest: that is told once, and
-// again when they fit.
+// So many zones are evacuated that the guarantees do not fit in the rest: that is logged
+// once, and again when they fit.
 func TestUnmetGuaranteesAreLogged(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 3, 2, DefaultBounds()) // 16 accelerators in each zone
