--- a/internal/work/dispatch/advice.go
+++ b/internal/work/dispatch/advice.go
@@ -7,19 +7,18 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// The policy of some queues lets only some targets run a step, and only an
-// advice service knows which. It gives a ticket for each target that may; a start
-// carries it. The service answers one call at a time, and slower the more targets
-// a call names.
+// The policy of some queues lets only some targets run a step, and only an advice service
+// knows which. It issues a ticket for each target that may, which the start carries. The
+// service answers one call at a time, and more slowly the more targets a call names.
 
-// Figures of advice.
+// Limits of calls for advice.
 const (
 	// maxAdviceTargets bounds the targets that one call names; the service takes a
-	// hundred. Thirty are about what a step of the usual width needs, if a part of
-	// them is allowed.
+	// hundred. A step of the usual width needs about thirty, if a part of them is
+	// allowed.
 	maxAdviceTargets = 30
-	// ticketMargin is kept of a ticket's time: for the note in the store and the
-	// way to the target.
+	// ticketMargin is the part of a ticket's validity that is reserved for saving the run
+	// and sending its start.
 	ticketMargin = 200 * time.Millisecond
 	// advicePause is the pause after a call that was refused or not answered.
 	advicePause = 250 * time.Millisecond
@@ -33,10 +32,10 @@
 
 func (Advise) command() {}
 
-// permits is what is known of the targets that may run a step.
+// permits holds the answers of the advice service for a step.
 type permits struct {
 	tickets map[string]ticket // by target
-	denied  map[string]bool   // targets that may not, as long as they live
+	denied  map[string]bool   // targets that may not run it, by incarnation
 }
 
 type ticket struct {
@@ -44,8 +43,8 @@
 	until time.Time
 }
 
-// permitted reports whether a target may run the step now; steps of queues
-// without advice may run anywhere.
+// permitted reports whether a target may run the step now; a step of a queue without
+// advice may run anywhere.
 func (s *step) permitted(t *target, now time.Time) bool {
 	if !s.job.spec.Advised {
 		return true
@@ -54,22 +53,22 @@
 	return ok && now.Add(ticketMargin).Before(k.until)
 }
 
-// ticket returns the ticket to start the step on a target; empty for none.
+// ticket returns the ticket for a start of the step on a target; empty if there is none.
 func (s *step) ticket(t *target) string { return s.permits.tickets[t.ID].text }
 
-// requestAdvice asks for permission to run a step that waits, on targets that could take
-// its tasks: those with room first.
+// requestAdvice asks for permission to run a pending step on targets that could take its
+// tasks: those with free capacity first.
 func (m *Machine) requestAdvice(s *step, now time.Time) {
 	if !s.job.spec.Advised || m.advicePending || now.Before(m.nextAdviceAt) {
 		return
 	}
 	var names []string
-	for _, withRoom := range []bool{true, false} {
+	for _, withCapacity := range []bool{true, false} {
 		for _, t := range m.sortedTargets {
 			if len(names) == maxAdviceTargets || s.permits.denied[t.ID] || s.permitted(t, now) || !s.eligibleWithoutAdvice(t, now) {
 				continue
 			}
-			if s.spec.Charge().FitsIn(t.freeCapacity()) == withRoom {
+			if s.spec.Charge().FitsIn(t.freeCapacity()) == withCapacity {
 				names = append(names, t.ID)
 			}
 		}
@@ -81,9 +80,9 @@
 	m.commands = append(m.commands, Advise{Step: s.id, Targets: names})
 }
 
-// Advised takes in the answer of the advice service: leave for some of the
-// targets that were named, for a time from when the answer was sent at the
-// earliest. err tells that there is no answer.
+// Advised applies the answer of the advice service; the caller calls it when a call for
+// advice has ended. The tickets are valid for a time from asked, when the call was sent:
+// they were issued no earlier. err is set if there was no answer.
 func (m *Machine) Advised(a Advise, granted []order.Permit, valid time.Duration, asked time.Time, err error, now time.Time) {
 	m.advicePending = false
 	m.placementDue = true
--- a/internal/work/dispatch/advice_test.go
+++ b/internal/work/dispatch/advice_test.go
@@ -13,7 +13,7 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// newAdviceFixture returns a machine over four targets with a job whose queue wants
+// newAdviceFixture returns a machine with four targets and a job whose queue requires
 // advice.
 func newAdviceFixture(t *testing.T, tasks int) (*fixture, graph.JobID) {
 	t.Helper()
@@ -34,10 +34,10 @@
 	return s, j.ID
 }
 
-// commands returns the commands of one kind, and takes saves as done.
+// commands returns the commands of one kind, and answers saves as done.
 func commands[C Command](s *fixture) (list []C) {
 	for range 2 {
-		s.now = s.now.Add(time.Millisecond) // a pass rests a little after the one before
+		s.now = s.now.Add(time.Millisecond) // there is a pause between passes
 		for _, c := range s.Decide(s.now) {
 			if x, ok := c.(C); ok {
 				list = append(list, x)
@@ -50,9 +50,9 @@
 	return list
 }
 
-// A queue's policy allows one of four targets. Nothing is started before the
-// advice service was asked; then all tasks run on that target, with its ticket.
-func TestAdvice(t *testing.T) {
+// A queue's policy allows one of four targets. Nothing is started before the advice
+// service has answered; then all tasks run on that target, with its ticket.
+func TestStartsWaitForAdvice(t *testing.T) {
 	is := is.New(t)
 	s, _ := newAdviceFixture(t, 3)
 	asked := commands[Advise](s)
@@ -67,9 +67,9 @@
 	}
 }
 
-// A ticket's time is over before all tasks could start. The target is asked about
-// again; those that may not run the step are not.
-func TestTicketsExpire(t *testing.T) {
+// A ticket expires before all tasks could start. The service is asked about its target
+// again, but not about those that may not run the step.
+func TestExpiredTicketsAreRenewed(t *testing.T) {
 	is := is.New(t)
 	s, _ := newAdviceFixture(t, 10)
 	asked := commands[Advise](s)
@@ -82,8 +82,8 @@
 	is.Equal(again[0].Targets, []string{"t2"})
 }
 
-// The service refuses, or does not answer: it is asked again after a pause.
-func TestNoAdvice(t *testing.T) {
+// The service refuses or does not answer: it is asked again after a pause.
+func TestAdviceIsRequestedAgainAfterFailure(t *testing.T) {
 	is := is.New(t)
 	s, _ := newAdviceFixture(t, 1)
 	asked := commands[Advise](s)
@@ -94,9 +94,9 @@
 	is.Equal(len(commands[Advise](s)), 1)
 }
 
-// A target does not take a ticket that should still hold. It is asked about
+// A target refuses a ticket that should still be valid. The service is asked about it
 // again, and the start is not repeated with the same ticket.
-func TestTicketRefused(t *testing.T) {
+func TestRefusedTicketIsNotReused(t *testing.T) {
 	is := is.New(t)
 	s, _ := newAdviceFixture(t, 1)
 	asked := commands[Advise](s)
