--- a/internal/work/dispatch/listing_test.go
+++ b/internal/work/dispatch/listing_test.go
@@ -15,9 +15,9 @@
 	return b
 }
 
-// The store answers a leader slowly, or the leader is overloaded: it has not read
-// the list of targets for seconds. A target said that it leaves meanwhile. Nothing
-// is started by such a list, and all goes on with the next one.
+// The store answers a leader slowly, or the leader is overloaded, so it has not read the
+// list of targets for seconds, and a target begins to drain meanwhile. Nothing is started
+// on a stale list, and placement continues with the next one.
 func TestNothingIsPlacedOnStaleTargetList(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, boundsWithListAge())
@@ -34,10 +34,9 @@
 	d.check()
 }
 
-// A start was decided and is being saved, which takes the slow store a second. Its
-// target begins to leave in that time: the start is not sent there, and the task
-// goes to another target.
-func TestTargetLeavesWhileAStartIsSaved(t *testing.T) {
+// A start is being saved, which takes the slow store a second, and its target begins to
+// drain: the start is not sent, and the task goes to another target.
+func TestTargetDrainsWhileStartIsSaved(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, boundsWithListAge())
 	d.listTargets()
@@ -53,10 +52,10 @@
 	d.check()
 }
 
-// The same with a gang whose members are on several targets. One of these begins to
-// leave while the gang is being saved: none of the members starts, not even those
-// that come after the one in question, and the gang is started elsewhere as a whole.
-func TestTargetLeavesWhileAGangIsSaved(t *testing.T) {
+// As above, with a gang whose members are on several targets, one of which begins to
+// drain while the gang is being saved: no member starts, not even those that come after
+// the one on that target, and the whole gang is started elsewhere.
+func TestTargetDrainsWhileGangIsSaved(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 4, boundsWithListAge())
 	d.listTargets()
@@ -74,9 +73,9 @@
 	d.check()
 }
 
-// The leader loses power just after it sent a start. If the start was not recorded
-// by then, a successor that does not reach the target would not know what may exist
-// there, and start the task a second time.
+// The leader loses power just after it has sent a start. If the start was not saved by
+// then, the next leader, if it cannot reach the target, would not know of the run and
+// would start the task a second time.
 func TestStartIsSentAfterItIsSaved(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
@@ -91,8 +90,8 @@
 	d.check()
 }
 
-// The same where another task of the job was recorded a moment ago: that the job was
-// saved then says nothing of a start that was decided since.
+// As above, but another task of the job was recorded a moment ago: that save does not
+// cover a start that was decided later.
 func TestStartWaitsForItsOwnSave(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 1, DefaultBounds())
