--- a/internal/work/dispatch/advice.go
+++ b/internal/work/dispatch/advice.go
@@ -62,22 +62,22 @@
 	if !s.job.spec.Advised || m.advicePending || now.Before(m.nextAdviceAt) {
 		return
 	}
-	var names []string
+	var ids []string
 	for _, withCapacity := range []bool{true, false} {
 		for _, t := range m.sortedTargets {
-			if len(names) == maxAdviceTargets || s.permits.denied[t.ID] || s.permitted(t, now) || !s.eligibleWithoutAdvice(t, now) {
+			if len(ids) == maxAdviceTargets || s.permits.denied[t.ID] || s.permitted(t, now) || !s.eligibleWithoutAdvice(t, now) {
 				continue
 			}
 			if s.spec.Charge().FitsIn(t.freeCapacity()) == withCapacity {
-				names = append(names, t.ID)
+				ids = append(ids, t.ID)
 			}
 		}
 	}
-	if len(names) == 0 {
+	if len(ids) == 0 {
 		return
 	}
 	m.advicePending = true
-	m.commands = append(m.commands, Advise{Step: s.id, Targets: names})
+	m.commands = append(m.commands, Advise{Step: s.id, Targets: ids})
 }
 
 // Advised applies the answer of the advice service; the caller calls it when a call for
--- a/internal/work/dispatch/straggler.go
+++ b/internal/work/dispatch/straggler.go
@@ -37,7 +37,7 @@
 		case m.straggles(r, now):
 			m.moveRun(r, "it runs slowly", now)
 		case t.Draining && m.outlastsTarget(r, now):
-			m.moveRun(r, "its target leaves before it would end", now)
+			m.moveRun(r, "it would outlast its draining target", now)
 		}
 	}
 }
@@ -211,11 +211,11 @@
 // stay somewhat longer than they announced.
 func (m *Machine) outlastsTarget(r *run, now time.Time) bool {
 	remaining := r.expectedRemaining(now)
-	stays := time.Duration(r.target.RemainingMS)*time.Millisecond - now.Sub(r.target.remainsToldAt)
+	targetRemaining := time.Duration(r.target.RemainingMS)*time.Millisecond - now.Sub(r.target.remainsToldAt)
 	if r.task.step.spec.Checkpointing && !r.task.step.spec.Gang {
-		return remaining > stays
+		return remaining > targetRemaining
 	}
-	return remaining > stays+drainGrace
+	return remaining > targetRemaining+drainGrace
 }
 
 // drainGrace is how much longer than announced a draining target is assumed to stay.
--- a/internal/work/dispatch/warmup.go
+++ b/internal/work/dispatch/warmup.go
@@ -33,8 +33,8 @@
 // cold reports whether the target is still slow after its start.
 func (t *target) cold() bool { return t.coldShare > 0 }
 
-// usableCapacity returns the part of the target's capacity that may be used. A target
-// without runs may always be given some.
+// usableCapacity returns the part of the target's capacity that may be used. It is the
+// whole for a target without runs, which may always be given some.
 func (t *target) usableCapacity() graph.Resources {
 	if !t.cold() || len(t.runs) == 0 {
 		return t.Capacity
