--- a/internal/host/leader/election_test.go
+++ b/internal/host/leader/election_test.go
@@ -53,7 +53,7 @@
 }
 
 // networkPeers implements leader.Peers for one host of a network. It answers as package
-// exchange does.
+// rpc does.
 type networkPeers struct {
 	noPeers
 	network *network
@@ -273,7 +273,7 @@
 				}
 			})
 			if after < before {
-				t.Errorf("seed %d: term %d, want %d", seed, after, before)
+				t.Errorf("seed %d: term %d, want at least %d", seed, after, before)
 			}
 		})
 	}
