--- a/internal/work/dispatch/accept.go
+++ b/internal/work/dispatch/accept.go
@@ -12,8 +12,8 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// Accept takes in a job that was accepted and stored. A job that is known
-// already is left as it is.
+// Accept adds a job whose acceptance is stored. The caller may report a job more than
+// once; a known job is left unchanged.
 func (m *Machine) Accept(spec *graph.Job, now time.Time) {
 	if m.jobs[spec.ID] != nil {
 		return
@@ -26,8 +26,9 @@
 	m.placementDue = true
 }
 
-// Restore takes in a job that was accepted before this term, with its progress
-// as saved (nil for none) and the version of that row.
+// Restore adds a job that was accepted before this term, with its saved progress (nil:
+// none) and the version of that row. The caller restores all jobs before
+// EnablePlacement.
 func (m *Machine) Restore(spec *graph.Job, p *progress.Job, version int64, cancelled bool, now time.Time) {
 	if m.jobs[spec.ID] != nil {
 		return
@@ -52,16 +53,16 @@
 	}
 }
 
-// createAllOccurrences opens every occurrence without making its steps ready, so that runs
-// of them which are found can be named.
+// createAllOccurrences creates the steps of every occurrence without queueing them, so
+// that runs of them that a target reports can be identified.
 func (j *job) createAllOccurrences() {
 	for j.opened < j.spec.Occurrences() {
 		j.createOccurrence()
 	}
 }
 
-// restoreProgress applies saved progress. Steps of occurrences that are not due yet are
-// opened, since something of them has ended.
+// restoreProgress applies saved progress. It opens occurrences with saved progress even
+// if they are not due yet, since something of them has ended.
 func (m *Machine) restoreProgress(j *job, p *progress.Job, now time.Time) {
 	keys := make([]string, 0, len(p.Steps))
 	for k := range p.Steps {
@@ -116,11 +117,11 @@
 	}
 }
 
-// restoreRun takes over a run that an earlier leader recorded. It exists until its
-// target reports without it, or its leases have lapsed.
+// restoreRun adds a run that an earlier leader recorded. It may exist until its target
+// reports without it or its leases have lapsed.
 func (m *Machine) restoreRun(x *task, p progress.Placement, now time.Time) {
 	t := m.targets[p.Target]
-	if t == nil { // UpdateTargets tells the rest, if it is still there
+	if t == nil { // UpdateTargets fills in the rest if the target is still listed
 		t = m.addTarget(roster.Target{ID: p.Target})
 	}
 	r := &run{
@@ -134,7 +135,7 @@
 	t.used = t.used.Plus(r.charge)
 }
 
-// openDueOccurrences opens the occurrences that are due.
+// openDueOccurrences opens the due occurrences of a job.
 func (m *Machine) openDueOccurrences(j *job, now time.Time) {
 	if j.spec.Repeat > 0 && j.opened == 0 && !slices.Contains(m.recurring, j) {
 		m.recurring = append(m.recurring, j)
@@ -152,7 +153,7 @@
 	}
 }
 
-// openRecurring opens occurrences whose time has come.
+// openRecurring opens the due occurrences of recurring jobs.
 func (m *Machine) openRecurring(now time.Time) {
 	m.recurring = slices.DeleteFunc(m.recurring, (*job).finished)
 	for _, j := range m.recurring {
@@ -160,12 +161,12 @@
 	}
 }
 
-// stepUnblocked puts a step among those that have tasks to start.
+// stepUnblocked enqueues a step whose earlier steps are all done.
 func (m *Machine) stepUnblocked(s *step, now time.Time) {
 	m.enqueueStep(s, now)
 }
 
-// enqueueStep puts a step that may have a task to start among the open ones.
+// enqueueStep adds a step that may have tasks to start to the open steps.
 func (m *Machine) enqueueStep(s *step, _ time.Time) {
 	if s.blocked > 0 || s.done || s.job.finished() || s.queued {
 		return
@@ -176,7 +177,7 @@
 	m.placementDue = true
 }
 
-// Cancel takes in that a job's cancelling is stored.
+// Cancel cancels a job whose cancellation is stored.
 func (m *Machine) Cancel(id graph.JobID, now time.Time) {
 	if j := m.jobs[id]; j != nil {
 		m.cancel(j, now)
@@ -193,7 +194,7 @@
 	m.endJob(j, progress.Cancelled, now)
 }
 
-// unknownStep returns the step of a run of which nothing is known.
+// unknownStep returns a placeholder for the step of a run whose task is not known.
 func unknownStep(r order.Run) *step {
 	spec := &graph.Job{ID: r.Task.Job, Steps: []graph.Step{{}}}
 	j := newJob(spec, 0, time.Time{})
