--- a/internal/work/dispatch/orders.go
+++ b/internal/work/dispatch/orders.go
@@ -8,8 +8,8 @@
 	"guavaglade.example/guavaglade/internal/fleet/order"
 )
 
-// place decides that a task runs on a target. Its room is taken at once; the
-// start is sent when the room is really free.
+// place assigns a task to a target. The run reduces the target's free capacity at once;
+// its start is sent once that capacity is actually free.
 func (m *Machine) place(x *task, t *target, number int, now time.Time) *run {
 	r := &run{
 		Run: order.Run{Task: x.id(), Number: number}, task: x, target: t,
@@ -26,10 +26,10 @@
 	return r
 }
 
-// record takes the room of runs that waited for it and has them saved. A start is
-// sent only after its run was saved under this term's fence: a successor, which
-// may not reach the run's target, finds in the rows what may exist there, and a
-// leader that was succeeded without knowing it can start nothing more.
+// record allocates capacity to runs that waited for it and marks their jobs dirty. A
+// start is sent only after its run was saved under this term's fencing token: the next
+// leader, which may not reach the run's target, finds in the rows what may exist there,
+// and a leader that was superseded without noticing can start nothing more.
 func (m *Machine) record(runs []*run) {
 	for _, r := range runs {
 		t := r.target
@@ -41,19 +41,19 @@
 	}
 }
 
-// startRecorded sends the starts of a job's runs that are saved by now. Saving may
-// have taken long: a run whose target leaves by now, or may leave without our
-// knowing, is given up before it was sent.
+// startRecorded sends the starts of a job's recorded runs that have been saved. Saving
+// may have taken long, so it drops runs whose target accepts no starts or does not
+// answer by now, or may be draining without this leader knowing.
 func (m *Machine) startRecorded(j *job, now time.Time) {
 	for _, r := range j.sortedLiveRuns() {
 		if r.phase != recorded || r.recordRev > j.savedRev || !j.liveRuns[r] {
-			continue // the last: its gang was given up just now
+			continue // not live: its gang was stopped in this loop
 		}
 		switch {
 		case !r.target.acceptsStarts() || !r.target.responsive() || !m.stateIsCurrent(now):
 			m.log.Decided("run given up before it was sent", "target", r.target.ID, "task", r.Task, "run", r.Number, "drains", r.target.Draining, "evacuated", r.target.evacuated, "inTouch", r.target.responsive(), "listAgeMS", now.Sub(m.listAsOf).Milliseconds(), "zonesAgeMS", now.Sub(m.evacuated.AsOf).Milliseconds())
-			m.stop(r, "its target leaves or does not answer", now)
-			m.stopGang(r, "a member's target leaves or does not answer", now)
+			m.stop(r, "its target accepts no starts or does not answer", now)
+			m.stopGang(r, "a member's target accepts no starts or does not answer", now)
 		default:
 			r.phase = starting
 			r.resumedAt = r.task.checkpoint()
@@ -62,7 +62,7 @@
 	}
 }
 
-// ordersPending returns how many orders about the target's runs are outstanding.
+// ordersPending returns the number of outstanding orders for the target's runs.
 func (t *target) ordersPending() int {
 	n := 0
 	for _, r := range t.runs {
@@ -85,8 +85,8 @@
 	m.log.Decided("start run", "target", t.ID, "task", r.Task, "run", r.Number, "try", r.startsSent, "checkpoint", r.resumedAt)
 }
 
-// StartAnswered takes in what became of a start; err is nil or wraps one of
-// package order's errors.
+// StartAnswered applies the outcome of a Start, once it is known; err is nil or wraps one
+// of package order's errors.
 func (m *Machine) StartAnswered(target string, id order.Run, clock int64, err error, now time.Time) {
 	t := m.targets[target]
 	if t == nil {
@@ -118,27 +118,27 @@
 		r.unanswered = true
 		m.targetMissed(t, r.sentAt, now)
 	case errors.Is(err, order.ErrUnreached):
-		m.targetMissed(t, r.sentAt, now) // it is sent again by retryOrder
+		m.targetMissed(t, r.sentAt, now) // retryOrder sends it again
 	default:
 		m.startRefused(r, err, now)
 	}
 	m.placementDue = true
 }
 
-// isAnswer reports whether an order was answered, whatever the answer was.
+// isAnswer reports whether an order with this outcome was answered, even if by a refusal.
 func isAnswer(err error) bool {
 	return !errors.Is(err, order.ErrUnanswered) && !errors.Is(err, order.ErrUnreached) && !errors.Is(err, order.ErrWithheld)
 }
 
-// runBegan takes in that a run is on its target.
+// runBegan marks a run as running on its target.
 func (m *Machine) runBegan(r *run, now time.Time) {
 	r.phase = running
 	r.beganAt, r.reportedAt = now, now
 	r.task.step.job.started = true
 }
 
-// startRefused takes in that a target did not start a run and never will. A
-// gang of which one member was refused is stopped as a whole.
+// startRefused handles a target's refusal to start a run. If the run belongs to a gang,
+// the whole gang is stopped.
 func (m *Machine) startRefused(r *run, err error, now time.Time) {
 	t := r.target
 	m.log.Decided("start refused", "target", t.ID, "task", r.Task, "run", r.Number, "error", err.Error())
@@ -146,7 +146,7 @@
 	case errors.Is(err, order.ErrUnhealthy):
 		t.suspendedUntil = now.Add(unhealthyPause)
 	case errors.Is(err, order.ErrLate):
-		t.clockMS = 0 // the next report tells the clock
+		t.clockMS = 0 // not known until the next report
 	case errors.Is(err, order.ErrNoCapacity):
 		t.suspendedUntil = now.Add(noCapacityPause)
 	case errors.Is(err, order.ErrNoTicket):
@@ -155,23 +155,23 @@
 		r.task.pausedUntil = now.Add(invalidPause)
 	}
 	if r.unanswered {
-		// An earlier copy of the order may still arrive: only a stop ends that.
-		m.stop(r, "refused after an unanswered try", now)
+		// An earlier copy of the order may still arrive; only a stop rules that out.
+		m.stop(r, "refused after an unanswered start", now)
 	} else {
 		m.release(r, now)
 	}
 	m.stopGang(r, "a member was refused", now)
 }
 
-// Rests of a target that refused a start, each long enough for its next report
-// or its recovery, and short against a task's run.
+// Pauses after a target refused a start, each long enough for its next report or its
+// recovery, and short compared with a task's run.
 const (
 	unhealthyPause  = 2 * time.Second
 	noCapacityPause = 500 * time.Millisecond
-	invalidPause    = 5 * time.Second // of a task whose start a target did not understand
+	invalidPause    = 5 * time.Second // of the task whose start was invalid; the others are of the target
 )
 
-// stopGang stops the other members of the gang to which a run belongs.
+// stopGang stops the other members of a run's gang.
 func (m *Machine) stopGang(r *run, reason string, now time.Time) {
 	s := r.task.step
 	if !s.spec.Gang || s.job.liveRuns == nil {
@@ -187,12 +187,12 @@
 	s.pausedUntil = now.Add(gangPause)
 }
 
-// gangPause is the pause before a gang that could not start is tried again, for
-// the target that refused to be known as such.
+// gangPause is the pause before a gang that could not start is placed again, so that the
+// target that refused is known by then.
 const gangPause = 100 * time.Millisecond
 
-// stop ends a run: one that was not sent at once, another by an order that is
-// repeated until it is answered.
+// stop ends a run. A run whose start was not sent is released at once; any other is
+// stopped by an order that is repeated until it is answered.
 func (m *Machine) stop(r *run, reason string, now time.Time) {
 	switch r.phase {
 	case stopping:
@@ -212,8 +212,7 @@
 	m.commands = append(m.commands, Stop{Target: r.target.address(), Run: r.Run, Class: r.target.class(limiter.Stop)})
 }
 
-// startClass returns the class in which the starts of a step wait for their turn, if
-// their targets answer.
+// startClass returns the limiter class of a step's starts on targets that answer.
 func (m *Machine) startClass(s *step, now time.Time) limiter.Class {
 	if m.guaranteeDue(s, now) {
 		return limiter.UrgentStart
@@ -221,8 +220,8 @@
 	return limiter.Start
 }
 
-// class returns the class in which an order to the target waits for its turn, which
-// is the usual one if it answers.
+// class returns the limiter class of an order to the target: normal if the target
+// answers.
 func (t *target) class(normal limiter.Class) limiter.Class {
 	if t.responsive() && t.reach != unreachable {
 		return normal
@@ -230,7 +229,7 @@
 	return limiter.Probe
 }
 
-// StopAnswered takes in what became of a stop.
+// StopAnswered applies the outcome of a Stop, once it is known.
 func (m *Machine) StopAnswered(target string, id order.Run, clock int64, err error, now time.Time) {
 	t := m.targets[target]
 	if t == nil {
@@ -259,14 +258,15 @@
 	}
 }
 
-// awaitsAnswer reports whether an order about the run may have to be sent again.
+// awaitsAnswer reports whether an order for the run may have to be repeated.
 func (r *run) awaitsAnswer() bool { return r.phase == starting || r.phase == stopping }
 
-// maxProbes is how many orders are on their way at once to a target that does not answer:
-// more would only keep the host busy.
+// maxProbes bounds the outstanding orders to a target that does not answer: more would
+// only keep the host busy.
 const maxProbes = 4
 
-// retryOrder sends an order again that got no answer.
+// retryOrder repeats an order that was not answered, or ends a run whose start has been
+// sent maxStartsSent times.
 func (m *Machine) retryOrder(r *run, now time.Time) {
 	if r.orderPending || now.Sub(r.sentAt) < orderRetryInterval || (!r.target.responsive() && r.target.ordersPending() >= maxProbes) {
 		return
--- a/internal/work/dispatch/orders_test.go
+++ b/internal/work/dispatch/orders_test.go
@@ -10,8 +10,8 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// Stops are lost on their way for a while. A client cancelled its job and was told
-// so: the tasks must be gone soon after stops get through again, not when they end.
+// A client cancelled its job and was told so, but stops are lost for a while. The tasks
+// must be stopped soon after stops get through again, not when they end by themselves.
 func TestStopIsRepeatedUntilAnswered(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 1, DefaultBounds())
@@ -31,9 +31,9 @@
 	is.Equal(d.p.BusyOf(id), 0)
 }
 
-// A target carries out starts and its answers are lost, and so are its reports.
-// What was started there may run: it must not be started elsewhere before all
-// leases that the target may hold have lapsed.
+// A target executes starts, but its answers and reports are lost. What was started there
+// may run, so it must not be started elsewhere before all leases that the target may hold
+// have lapsed.
 func TestUnansweredStartMayRun(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
@@ -60,9 +60,9 @@
 	d.check()
 }
 
-// A target takes its time over a start: the try without an answer is on its way
-// when the second try is refused for want of room. The first may still arrive and
-// be carried out, so the refusal ends nothing: only a stop does.
+// A start is slow to arrive and not answered, and its repetition is refused for lack of
+// capacity. The first order may still arrive and be executed, so the refusal does not end
+// the run: only a stop does.
 func TestRefusalAfterUnansweredStart(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
@@ -93,5 +93,5 @@
 	is.Equal(len(tries), 2)
 	s.StartAnswered("t1", tries[1].Order.Run, 0, order.ErrNoCapacity, s.now)
 	is.Equal(orders(), 1)
-	is.Equal(len(s.targets["t1"].runs), 1) // its room stays taken
+	is.Equal(len(s.targets["t1"].runs), 1) // its capacity stays allocated
 }
