--- a/internal/work/dispatch/ends.go
+++ b/internal/work/dispatch/ends.go
@@ -13,8 +13,7 @@
 // sortedRuns returns the target's runs in a fixed order.
 func (t *target) sortedRuns() []*run { return t.runsWhere(func(*run) bool { return true }) }
 
-// runsWhere returns those of the target's runs that a condition holds for, in a fixed
-// order.
+// runsWhere returns the target's runs that match, in a fixed order.
 func (t *target) runsWhere(matches func(*run) bool) []*run {
 	var runs []*run
 	for _, r := range t.runs {
@@ -36,8 +35,8 @@
 	return slices.DeleteFunc(list, func(o T) bool { return o == v })
 }
 
-// release takes out a run that cannot exist any more. Its task waits again,
-// unless it is done.
+// release removes a run that can no longer exist. Its step is enqueued again unless it is
+// done.
 func (m *Machine) release(r *run, now time.Time) {
 	t := r.target
 	if t.runs[r.Run] != r {
@@ -55,18 +54,18 @@
 	m.enqueueStep(r.task.step, now)
 }
 
-// failIfAtMostOnce ends a job that may be run only once, after one of its runs that may
-// have begun is over and its task is not done: it must not be started again.
+// failIfAtMostOnce fails an at-most-once job after a run that may have begun has ended
+// without completing its task, which must not be started again.
 func (m *Machine) failIfAtMostOnce(r *run, now time.Time) {
 	j := r.task.step.job
 	if !j.spec.AtMostOnce || r.task.done || j.finished() || r.phase == awaitingCapacity || r.phase == recorded {
 		return
 	}
-	m.log.Decided("job may have run, and is not started again", "job", j.spec.ID, "task", r.Task, "run", r.Number)
+	m.log.Decided("at-most-once job failed: it may have run", "job", j.spec.ID, "task", r.Task, "run", r.Number)
 	m.endJob(j, progress.Failed, now)
 }
 
-// runEnded takes in an end that a target lists for the first time.
+// runEnded applies an end that a target lists for the first time.
 func (m *Machine) runEnded(t *target, e order.Ended, now time.Time) {
 	r := t.runs[e.Run]
 	if r != nil {
@@ -74,7 +73,7 @@
 	}
 	j := m.jobs[e.Run.Task.Job]
 	if j == nil {
-		m.log.Decided("end of an unknown job", "target", t.ID, "task", e.Run.Task, "run", e.Run.Number, "how", e.Reason)
+		m.log.Decided("run of an unknown job ended", "target", t.ID, "task", e.Run.Task, "run", e.Run.Number, "how", e.Reason)
 		t.unsavedEnds = append(t.unsavedEnds, unsavedEnd{number: e.Number})
 		return
 	}
@@ -92,15 +91,15 @@
 			m.recordBrokenMember(r, now)
 		}
 	}
-	// Also an end that changes nothing waits for what is not saved yet: another
-	// member's end may have ended the whole gang a moment ago, and must not be
-	// the only one that is left if that save fails.
+	// Even an end that changes nothing is acknowledged only after the job's unsaved
+	// changes are saved: another member's end may just have ended the whole gang, and
+	// must not be the only remaining record of that if the save fails.
 	t.unsavedEnds = append(t.unsavedEnds, unsavedEnd{number: e.Number, job: j, rev: j.rev})
 }
 
 // applyEnd applies an end to its task and reports whether the job's progress has
-// changed. Ends of a job that is over change nothing; but what they tell of the
-// target counts. r is nil for a run that was not known.
+// changed. Ends of finished jobs and done tasks change nothing. r is nil for a run that
+// was not known.
 func (m *Machine) applyEnd(x *task, t *target, r *run, e order.Ended, now time.Time) bool {
 	s := x.step
 	if s.job.finished() || x.done {
@@ -124,12 +123,13 @@
 	return saved
 }
 
-// longRunningPause is the pause before a long-running task that failed is started again,
-// so that one that cannot run does not take all orders. Half the time after
-// which a missing task counts against us is left for the start.
+// longRunningPause is the pause before a failed long-running task is started again, so
+// that one that cannot run does not use up the host's orders. It is half the time after
+// which a missing task counts against the service; the other half is left for the start.
 const longRunningPause = 500 * time.Millisecond
 
-// saveCheckpoint takes a checkpoint over and reports whether it is a new one.
+// saveCheckpoint sets the checkpoint from which the task, or its gang, resumes, and
+// reports whether it is a new one.
 func (x *task) saveCheckpoint(checkpoint string) bool {
 	if checkpoint == "" || !x.step.spec.Checkpointing {
 		return false
@@ -148,8 +148,8 @@
 	return true
 }
 
-// taskDone takes in that a run of a task is done; of a gang, all its tasks are. The
-// number is 0 where it is not known.
+// taskDone marks a task, or all tasks of its gang, as done by a run. The run's number is
+// 0 if it is not known.
 func (m *Machine) taskDone(x *task, run int, now time.Time) {
 	s := x.step
 	s.doneRun, s.doneAt = run, now
@@ -180,14 +180,14 @@
 	x.done = true
 	x.step.tasksLeft--
 	if x.step.spec.Gang {
-		return // the others are listed as done, too
+		return // the other members' runs are listed as done, too
 	}
 	for _, r := range slices.Clone(x.runs) {
-		m.stop(r, "another run is done", now)
+		m.stop(r, "another run of its task is done", now)
 	}
 }
 
-// completeIfDone ends a job whose occurrences are all done.
+// completeIfDone completes a job whose occurrences are all done.
 func (m *Machine) completeIfDone(j *job, now time.Time) {
 	if j.stepsLeft > 0 || j.opened < j.spec.Occurrences() || j.finished() {
 		return
@@ -195,7 +195,7 @@
 	m.endJob(j, progress.Completed, now)
 }
 
-// endJob gives a job its final state.
+// endJob sets a job's final state and stops its runs.
 func (m *Machine) endJob(j *job, s progress.State, now time.Time) {
 	j.state, j.endedAt = s, m.wallMS(now)
 	m.markDirty(j)
@@ -207,10 +207,10 @@
 	m.openSteps = slices.DeleteFunc(m.openSteps, func(s *step) bool { return s.job == j })
 }
 
-// endedWithGang reports whether a run of a job in a final state has ended on its
-// target, though that is not listed yet: the members of a gang end done together. A
-// stop for each would be a third of all orders, and be answered with that end.
-// runReported stops one that goes on all the same.
+// endedWithGang reports whether a run of a job in a final state has ended on its target
+// although that is not listed yet: the members of a gang are done together. Stops
+// for all of them would be a third of all orders, each answered with that end.
+// runReported stops a member that runs on nevertheless.
 func (r *run) endedWithGang(s progress.State) bool {
 	step := r.task.step
 	return s == progress.Completed && step.spec.Gang && r.phase == running && r.Number == step.doneRun
@@ -226,8 +226,8 @@
 	return runs
 }
 
-// runFailed counts a failed run against its task, or its gang, and the target. A
-// run counts once. r is nil for a run that was not known.
+// runFailed counts a failed run against its task, or its gang, and the target. A run
+// counts once. r is nil for a run that was not known.
 func (m *Machine) runFailed(x *task, t *target, r *run, number int, now time.Time) {
 	s, a := x.step, x.attempts()
 	if !a.recordFailure(number, t, now) {
@@ -239,7 +239,7 @@
 	if early {
 		a.earlyFailureAt = now
 	}
-	first := len(a.failed) == 1 // one that failed before is perhaps itself at fault
+	first := len(a.failed) == 1 // a task that failed before may itself be at fault
 	if s.implicatesTargets() && (first || early) {
 		wasQuarantined := t.health.Quarantined(now)
 		t.health.ObserveFailure(worked, s.spec.Estimate, now)
@@ -251,7 +251,7 @@
 	}
 }
 
-// runReported takes in a run that a target has.
+// runReported applies a target's report of a run. asked is when the report was asked for.
 func (m *Machine) runReported(t *target, reported order.Running, asked, now time.Time) {
 	r := t.runs[reported.Run]
 	if r == nil {
@@ -274,9 +274,9 @@
 	r.updateProgress(reported.Percent, now)
 }
 
-// adopt takes over a run that was not started in this term, or whose life was
-// believed over. It is stopped if it must not go on: its job is not known or
-// over, its task is done or runs elsewhere.
+// adopt adds a run that was not started in this term, or that was believed to have
+// ended. It is stopped if it must not go on: its job is unknown or finished, its task is
+// done or runs elsewhere, or its step is not due.
 func (m *Machine) adopt(t *target, reported order.Running, now time.Time) *run {
 	r := &run{Run: reported.Run, target: t, phase: running, placedAt: now, beganAt: now, orderAnsweredAt: now}
 	j := m.jobs[reported.Run.Task.Job]
@@ -288,7 +288,7 @@
 	switch {
 	case x == nil:
 		x = &task{step: unknownStep(reported.Run), index: reported.Run.Task.Index}
-		reason = "its job is not known"
+		reason = "its job or task is not known"
 	case j.finished():
 		reason = "its job has ended"
 	case x.done:
@@ -301,7 +301,7 @@
 	r.task = x
 	r.charge, r.paceShare = x.step.spec.Charge(), initialShare(x.step)
 	if j == nil || j.findTask(reported.Run.Task) == nil {
-		r.charge = t.Capacity.Minus(t.used) // not known what it takes: no other work beside it
+		r.charge = t.Capacity.Minus(t.used) // its needs are not known: no other work is placed beside it
 	}
 	x.highestRun = max(x.highestRun, reported.Run.Number)
 	x.step.gangRun = max(x.step.gangRun, reported.Run.Number)
