--- a/internal/work/dispatch/gang_end.go
+++ b/internal/work/dispatch/gang_end.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// gangEnd is what is known of the end of a gang's run.
+// gangEnd records which members of a gang's run ended because another one had ended.
 type gangEnd struct {
 	number        int          // of the run
-	brokenMembers map[int]bool // tasks that ended since another member had ended
+	brokenMembers map[int]bool // by index of the task
 }
 
-// recordBrokenMember notes that a gang's member ended since another one had.
+// recordBrokenMember notes that a member of a gang ended because another one had.
 func (m *Machine) recordBrokenMember(r *run, now time.Time) {
 	s := r.task.step
 	if !s.spec.Gang {
@@ -28,19 +28,20 @@
 	}
 }
 
-// releaseFirstEnded gives up a gang's members on a silent target if the one that ended first
-// must be among them: all others ended since another had. Those beside it ended with it,
-// as their target knows of both. Without this the gang would wait until the leases have
-// lapsed on a target that lost power, or under a new leader until those of its
-// predecessor have. One may have failed, which the target tells when it answers again:
-// that counts as an attempt until its leases have lapsed. A run that may have been the
-// last attempt is not given up, and stays recorded for the next leader.
+// releaseFirstEnded releases a gang's members on an unreachable target if the member that
+// ended first must be among them, because all others ended as a consequence of another's
+// end. The members beside it ended with it, as their target knows of both. Without this
+// the gang would wait until the leases have lapsed on a target that lost power, or, under
+// a new leader, until those of its predecessor have. The member may have failed, which
+// the target reports when it answers again: the run counts as an attempt until its leases
+// have lapsed. A run that may have been the last attempt is not released, and stays
+// recorded for the next leader.
 func (m *Machine) releaseFirstEnded(r *run, now time.Time) {
 	s, t := r.task.step, r.target
 	if !s.spec.Gang || t.reach == reachable || t.runs[r.Run] != r || !s.firstEndedOn(t, r.Number) || s.attemptsMayBeExhausted(1, now) {
 		return
 	}
-	m.log.Decided("run must have ended", "target", t.ID, "task", r.Task, "run", r.Number, "members", len(s.tasks))
+	m.log.Decided("run presumed ended", "target", t.ID, "task", r.Task, "run", r.Number, "members", len(s.tasks))
 	s.gangAttempts.recordUncertain(r.Number, t.leaseEnd)
 	for _, o := range t.runsWhere(func(o *run) bool { return o.task.step == s && o.Number == r.Number }) {
 		m.release(o, now)
@@ -49,7 +50,7 @@
 }
 
 // firstEndedOn reports whether the member of a gang's run that ended first must have been
-// on a target.
+// on the target.
 func (s *step) firstEndedOn(t *target, number int) bool {
 	if s.gangEnd.number != number || len(s.gangEnd.brokenMembers) == 0 {
 		return false
@@ -62,12 +63,13 @@
 	return true
 }
 
-// runsOn reports whether a run of the task may exist on a target.
+// runsOn reports whether a run of the task with this number may exist on the target.
 func (x *task) runsOn(t *target, number int) bool {
 	return slices.ContainsFunc(x.runs, func(r *run) bool { return r.target == t && r.Number == number })
 }
 
-// attemptsMayBeExhausted reports whether a gang may have no attempt left if so many more failed.
+// attemptsMayBeExhausted reports whether the gang may have no attempt left if this many
+// more failed.
 func (s *step) attemptsMayBeExhausted(more int, now time.Time) bool {
 	return s.gangAttempts.maxFailed(now)+more >= max(s.job.spec.MaxAttempts, 1)
 }
--- a/internal/work/dispatch/gang_end_test.go
+++ b/internal/work/dispatch/gang_end_test.go
@@ -11,7 +11,7 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// targetOf returns the target of an order, or "".
+// targetOf returns the target of a command, or "".
 func targetOf(c Command) string {
 	switch c := c.(type) {
 	case Start:
@@ -24,9 +24,9 @@
 	return ""
 }
 
-// A target loses power while a gang works on it and two others. The others list that
-// their members ended since another had; nothing is heard of the third. Users would
-// see the gang begin again only when the third's leases have lapsed, six seconds on.
+// One of a gang's three targets loses power. The other two list that their members ended
+// because another one had; the third does not answer. The gang must not wait the six
+// seconds until the third's leases have lapsed.
 func TestGangRestartsBeforeLeaseOfDeadTargetLapses(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 6, DefaultBounds())
@@ -40,9 +40,9 @@
 	d.check()
 }
 
-// A target loses power on which two members of a gang work; the others list that they ended
-// since another had. Users would see the gang begin again after ten seconds, and after twice
-// as long if the leader changed meanwhile.
+// A target with two members of a gang loses power; the others list that they ended because
+// another one had. If the gang waited for the leases, it would begin again only after ten
+// seconds, and after twice as long if the leader changed meanwhile.
 func TestGangWithTwoMembersOnDeadTargetRestartsEarly(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 6, DefaultBounds())
@@ -57,35 +57,37 @@
 	d.check()
 }
 
-// The same target is cut off and has not lost power, and the gang's first end, a failure, is
-// listed elsewhere: nothing is known of the two members there, which may still work.
+// A target with two members of a gang is unreachable but has not lost power, and the gang's
+// first end, a failure, is listed by another target. The two members may still work, so
+// they must not be released.
 func TestGangWaitsForMembersOnUnreachableTarget(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 6, DefaultBounds())
 	id := d.submit(0, 3*time.Second, urgent(6, 4))
 	d.run(time.Second)
 	s := d.m.jobs[id].steps[0]
-	cut := s.tasks[1].runs[0].target
-	d.dropCommand = func(c Command) bool { return targetOf(c) == cut.ID }
+	unreached := s.tasks[1].runs[0].target
+	d.dropCommand = func(c Command) bool { return targetOf(c) == unreached.ID }
 	s.gangEnd = gangEnd{number: 1, brokenMembers: map[int]bool{}}
 	for _, x := range s.tasks {
-		s.gangEnd.brokenMembers[x.index] = x.runs[0].target != cut
+		s.gangEnd.brokenMembers[x.index] = x.runs[0].target != unreached
 	}
 	for _, x := range s.tasks { // listed as failed, and released
-		if x.runs[0].target != cut {
+		if x.runs[0].target != unreached {
 			delete(s.gangEnd.brokenMembers, x.index)
 			d.m.release(x.runs[0], d.now)
 			break
 		}
 	}
-	cut.reach = unreachable
-	is.True(!s.firstEndedOn(cut, 1))
+	unreached.reach = unreachable
+	is.True(!s.firstEndedOn(unreached, 1))
 	d.m.releaseFirstEnded(s.tasks[1].runs[0], d.now)
 	is.Equal(len(s.tasks[1].runs), 1)
 }
 
-// Two of three targets lose power. One member ended since another had; which of the two
-// is not known, so neither is believed over before its leases have lapsed.
+// Two of three targets lose power, and the third lists that its member ended because another
+// one had. Which of the two ended first is not known, so neither run is presumed ended
+// before its leases have lapsed.
 func TestGangWaitsForTwoDeadTargets(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 6, DefaultBounds())
@@ -105,9 +107,9 @@
 	d.check()
 }
 
-// A gang has one attempt left. A member fails on a target that has just been cut off, and
-// the others list that they ended since another had. A start now would be one too many:
-// the target lists the failure when it is back. Operators would see a job start again
+// On a gang's last attempt a member fails on a target that has just become unreachable, and
+// the others list that they ended because another one had. The gang must not be started
+// again: the target lists the failure when it is back, and the job would have started again
 // after its last attempt failed.
 func TestGangWaitsForOutcomeOfLastAttempt(t *testing.T) {
 	is := is.New(t)
@@ -122,13 +124,13 @@
 	d.run(5 * time.Second) // the first attempt has failed half way, after 4 s
 	s := d.m.jobs[id].steps[0]
 	is.Equal(s.gangRun, 2)
-	cut := s.tasks[1].runs[0].target
-	d.dropCommand = func(c Command) bool { return targetOf(c) == cut.ID }
-	d.run(4500 * time.Millisecond) // the second fails, and the target is known to be silent
-	is.Equal(cut.reach, unreachable)
+	unreached := s.tasks[1].runs[0].target
+	d.dropCommand = func(c Command) bool { return targetOf(c) == unreached.ID }
+	d.run(4500 * time.Millisecond) // the second fails, and the target is known to be unreachable
+	is.Equal(unreached.reach, unreachable)
 	is.Equal(len(s.gangEnd.brokenMembers), 2)
 	is.Equal(s.gangRun, 2)
-	is.Equal(len(s.tasks[1].runs), 1) // still recorded, for a successor
+	is.Equal(len(s.tasks[1].runs), 1) // still recorded, for the next leader
 	d.dropCommand = nil
 	d.run(10 * time.Second)
 	is.Equal(d.state(id), progress.Failed)
@@ -136,8 +138,8 @@
 	d.check()
 }
 
-// The same with an attempt left. The next run fails, too, while nothing is known of the
-// one before it: no other may follow until it is.
+// A run whose outcome is not known counts as a failed attempt until its leases have lapsed,
+// so that no run follows while it may have been the last attempt that was left.
 func TestUnknownOutcomeCountsAsFailedAttempt(t *testing.T) {
 	is := is.New(t)
 	var a attempts
@@ -146,7 +148,7 @@
 	is.Equal(a.maxFailed(now), 1)
 	is.True(a.recordFailure(2, &target{}, now))
 	is.Equal(a.maxFailed(now), 2)
-	is.True(a.recordFailure(1, &target{}, now)) // it is told
+	is.True(a.recordFailure(1, &target{}, now)) // now reported
 	is.Equal(a.maxFailed(now), 2)
 	a.recordUncertain(3, now.Add(5*time.Second))
 	is.Equal(a.maxFailed(now.Add(6*time.Second)), 2) // its leases have lapsed
