--- a/internal/work/dispatch/save.go
+++ b/internal/work/dispatch/save.go
@@ -10,18 +10,19 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// saveRows bounds the jobs of one save: with each row's condition, the fence
-// and the conditions on cancelling it stays under the store's 100 entries.
-const saveRows = 30
+// maxSaveRows bounds the jobs of one save: with each row's condition, the fencing condition
+// and the conditions on cancellation it stays under the store's limit of 100 entries.
+const maxSaveRows = 30
 
-// part is what is to be saved of the jobs of one part.
+// part tracks what is to be saved of the jobs of one part.
 type part struct {
-	dirty   []*job    // to be saved, in the order in which they changed; each once
-	sending []*job    // in the save that is outstanding; nil: none is
-	retryAt time.Time // not before
+	dirty   []*job    // to be saved, in the order in which they changed, each once
+	sending []*job    // in the outstanding save; nil: none
+	retryAt time.Time // no save before
 }
 
-// markDirty has the job's progress saved, and returns the revision that is saved.
+// markDirty marks the job as changed since its last save and returns the revision that
+// contains the change.
 func (m *Machine) markDirty(j *job) int64 {
 	j.rev++
 	if !j.dirty {
@@ -31,15 +32,14 @@
 	return j.rev
 }
 
-// sendSaves asks for a save of each part that has something to save and no save
-// outstanding.
+// sendSaves issues a save for each part that has dirty jobs and no outstanding save.
 func (m *Machine) sendSaves(now time.Time) {
 	for i := range m.parts {
 		p := &m.parts[i]
 		if p.sending != nil || len(p.dirty) == 0 || now.Before(p.retryAt) {
 			continue
 		}
-		n := min(len(p.dirty), saveRows)
+		n := min(len(p.dirty), maxSaveRows)
 		p.sending, p.dirty = slices.Clone(p.dirty[:n]), slices.Delete(p.dirty, 0, n)
 		save := Save{Part: i}
 		for _, j := range p.sending {
@@ -50,7 +50,7 @@
 	}
 }
 
-// row returns the job's progress as it is to be saved.
+// row returns the job's progress row for a save.
 func (j *job) row() SaveRow {
 	p := progress.Job{State: j.state, Started: j.started, Ended: j.endedAt}
 	if !j.state.Final() {
@@ -72,7 +72,7 @@
 	return strconv.Itoa(id.Occurrence) + "." + strconv.Itoa(id.Step)
 }
 
-// savedProgress returns what must be kept of the step, or nil for nothing.
+// savedProgress returns the step's progress for a save, or nil if there is none.
 func (s *step) savedProgress() *progress.Step {
 	k := &progress.Step{}
 	empty := len(s.gangAttempts.failed) == 0 && s.savedCheckpoint == ""
@@ -125,10 +125,10 @@
 	return m
 }
 
-// Saved takes in that the outstanding save of a part took effect and gave its
-// rows the version.
-func (m *Machine) Saved(at int, version int64, now time.Time) {
-	p := &m.parts[at]
+// Saved records that the outstanding save of a part took effect and gave its rows the
+// version. It publishes the saved states and sends the starts that waited for the save.
+func (m *Machine) Saved(partIndex int, version int64, now time.Time) {
+	p := &m.parts[partIndex]
 	for _, j := range p.sending {
 		j.version, j.savedRev = version, j.sentRev
 		m.publish(j, j.sentState)
@@ -143,7 +143,7 @@
 	}
 }
 
-// publish lets clients see a state that was saved.
+// publish makes a saved state visible to clients.
 func (m *Machine) publish(j *job, s progress.State) {
 	if j.published == s || j.published.Final() {
 		return
@@ -155,8 +155,9 @@
 	}
 }
 
-// reportJobEnded tells of a job that came to its end. What its client took back says
-// nothing about service, and a job that recurs or lasts has no time to keep.
+// reportJobEnded issues a JobEnded for a job that ended by itself. A cancelled job says
+// nothing about the quality of service, and a recurring or long-running job has no
+// completion time to meet.
 func (m *Machine) reportJobEnded(j *job, s progress.State) {
 	if s == progress.Cancelled || j.spec.Repeat > 0 || j.spec.LongRunning() {
 		return
@@ -165,42 +166,42 @@
 	m.commands = append(m.commands, JobEnded{Job: j.spec, State: s, Took: max(took, 0)})
 }
 
-// SaveFailed takes in that the store could not be asked, or that nothing is
-// known of the outcome yet. The rows are saved again.
-func (m *Machine) SaveFailed(at int, now time.Time) {
-	p := &m.parts[at]
+// SaveFailed requeues the rows of the outstanding save of a part when the store could not
+// be reached or the outcome is not known yet.
+func (m *Machine) SaveFailed(partIndex int, now time.Time) {
+	p := &m.parts[partIndex]
 	p.retryAt = now.Add(saveRetryPause)
 	m.requeue(p)
 }
 
-// StoredRow is a row as it was found when a save was refused or its outcome looked
-// up.
+// StoredRow describes a job's stored rows when a save was refused or its outcome was
+// looked up.
 type StoredRow struct {
 	Job       graph.JobID
-	Version   int64 // 0: not there
-	Cancelled bool  // the job's cancelling is there
+	Version   int64 // of the progress row; 0: there is none
+	Cancelled bool  // the job's cancellation is stored
 }
 
-// SaveRefused takes in the rows as they are, after a save that did not take
-// effect as a whole or whose answer was lost. They are saved again over what is
-// there: only this term's leader writes them, so what is there is older.
-func (m *Machine) SaveRefused(at int, found []StoredRow, now time.Time) {
-	m.log.Decided("progress refused", "part", at, "rows", len(found))
-	m.parts[at].retryAt = now.Add(saveRetryPause / 10)
-	for _, f := range found {
-		j := m.jobs[f.Job]
+// SaveRefused requeues the rows of a save that did not take effect as a whole or whose
+// answer was lost; stored tells which rows are there. The next save overwrites them: only
+// this term's leader writes them, so what is there is older.
+func (m *Machine) SaveRefused(partIndex int, stored []StoredRow, now time.Time) {
+	m.log.Decided("progress save refused", "part", partIndex, "rows", len(stored))
+	m.parts[partIndex].retryAt = now.Add(saveRetryPause / 10)
+	for _, row := range stored {
+		j := m.jobs[row.Job]
 		if j == nil {
 			continue
 		}
-		j.version = f.Version
-		if f.Cancelled {
+		j.version = row.Version
+		if row.Cancelled {
 			m.cancel(j, now)
 		}
 	}
-	m.requeue(&m.parts[at])
+	m.requeue(&m.parts[partIndex])
 }
 
-// requeue puts the rows of the outstanding save before those that wait.
+// requeue puts the jobs of the outstanding save before the other dirty jobs.
 func (m *Machine) requeue(p *part) {
 	jobs := p.sending
 	for _, j := range p.dirty {
