--- a/internal/work/dispatch/evacuation_test.go
+++ b/internal/work/dispatch/evacuation_test.go
@@ -172,7 +172,7 @@
 	m.UpdateTargets([]roster.Target{{ID: "a", Zone: "z0"}, {ID: "b", Zone: "z1"}}, now, now)
 	is.True(!m.targets["a"].acceptsStarts())
 	is.True(m.targets["b"].acceptsStarts())
-	is.Equal(m.targets["a"].describe(now), "unheld")
+	is.Equal(m.targets["a"].viewState(now), "unheld")
 }
 
 // So much is evacuated that the guarantees do not fit in the rest: that is told once, and
--- a/internal/work/dispatch/query.go
+++ b/internal/work/dispatch/query.go
@@ -10,7 +10,7 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// State returns what clients may be told of a job, and whether it is known.
+// State returns the state of a job that clients may see, and whether the job is known.
 func (m *Machine) State(id graph.JobID) (progress.State, bool) {
 	j := m.jobs[id]
 	if j == nil {
@@ -27,7 +27,7 @@
 	return j.published
 }
 
-// Status returns what clients may be told of a job, and whether it is known.
+// Status returns the status of a job that clients may see, and whether the job is known.
 func (m *Machine) Status(id graph.JobID) (view.JobStatus, bool) {
 	j := m.jobs[id]
 	if j == nil {
@@ -36,7 +36,7 @@
 	return view.JobStatus{State: j.status(), Queue: j.spec.Queue, Account: j.spec.Account}, true
 }
 
-// Pending returns how many accepted jobs of a queue have not started.
+// Pending returns the number of a queue's accepted jobs that have not started.
 func (m *Machine) Pending(queue string) int {
 	n := 0
 	for _, j := range m.jobs {
@@ -47,8 +47,8 @@
 	return n
 }
 
-// Jobs returns the jobs of a client account, or of all where it is empty, in the
-// order in which they were accepted.
+// Jobs returns the jobs of a client account, or all jobs if account is empty, in order of
+// acceptance.
 func (m *Machine) Jobs(account string) []view.Job {
 	list := []view.Job{}
 	for _, j := range m.jobs {
@@ -86,7 +86,7 @@
 	return v
 }
 
-// Fleet returns what the machine holds of targets and accounts.
+// Fleet returns the machine's targets, zones and accounts.
 func (m *Machine) Fleet(now time.Time) view.Fleet {
 	f := view.Fleet{
 		Term: m.term, Waiting: len(m.openSteps), Zones: m.zones(), Targets: []view.Target{}, Accounts: []view.Account{},
@@ -96,7 +96,7 @@
 		f.Targets = append(f.Targets, view.Target{
 			ID: t.ID, Zone: t.Zone, Rack: t.Rack, Service: t.Service, Accelerators: t.Capacity.Accelerators,
 			Cores: t.Capacity.CPU / 1000, MemoryMB: t.Capacity.MemoryMB,
-			Free: t.freeCapacity().Accelerators, Runs: len(t.runs), State: t.describe(now),
+			Free: t.freeCapacity().Accelerators, Runs: len(t.runs), State: t.viewState(now),
 		})
 	}
 	wanted := m.wantedByAccount()
@@ -137,8 +137,8 @@
 	return list
 }
 
-// describe says in a word whether a target gets work.
-func (t *target) describe(now time.Time) string {
+// viewState returns the target's state in the view: whether it gets work, or why not.
+func (t *target) viewState(now time.Time) string {
 	switch {
 	case !t.listed:
 		return "unlisted"
@@ -156,12 +156,12 @@
 	return "ready"
 }
 
-// Counts is what a machine holds.
+// Counts are the sizes of a machine's collections.
 type Counts struct {
 	Jobs, Targets, Reachable, Runs, OpenSteps, Evacuated int
 }
 
-// Counts returns what the machine holds now.
+// Counts returns the current sizes of the machine's collections.
 func (m *Machine) Counts() Counts {
 	c := Counts{Jobs: len(m.jobs), Targets: len(m.targets), OpenSteps: len(m.openSteps), Evacuated: len(m.evacuated.Zones)}
 	for _, t := range m.sortedTargets {
