--- a/internal/work/dispatch/backlog.go
+++ b/internal/work/dispatch/backlog.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// A leader that places more than its host can order lets starts wait, on its own
-// machine or in its link, until they time out; they are sent again and given up, gangs
-// begin in part, room is cleared for work that then does not start, and it never
-// catches up. So nothing is placed while as many starts are on their way as the host
-// can order in a short time. What waits is placed later, by the order that holds then.
+// Placing more than the host can order makes starts wait, on the host or in its network
+// link, until they time out. They are repeated and given up, gangs begin in part, runs
+// are preempted for work that then does not start, and the leader never catches up. So
+// nothing is placed while as many starts are pending as the host can order in a short
+// time. The rest is placed later, in the order that applies then.
 
-// backlogPause is the pause before placing is tried again while starts are on their way.
+// backlogPause is the pause before placement is tried again while it is throttled.
 const backlogPause = 20 * time.Millisecond
 
-// backlog is the starts that are on their way: decided, and not answered.
+// backlog counts the pending starts: decided and not answered.
 type backlog struct {
-	limit         int // 0: no bound
+	limit         int // 0: none
 	urgent, total int
 }
 
-// SetMaxPendingStarts tells how many starts may be on their way before nothing more is placed; 0
-// stands for any number.
+// SetMaxPendingStarts sets how many starts may be pending before nothing more is placed;
+// 0 means no limit. The caller sets it before each decision.
 func (m *Machine) SetMaxPendingStarts(limit int) { m.backlog.limit = limit }
 
-// recordTimeLimit is how long a start may be held up by its note in the store before that is
-// the store's matter: on a slow store many wait, and the host has nothing to do.
+// recordTimeLimit is how long a run that waits to be saved counts as pending. A longer
+// wait is due to the store: if it is slow, many runs wait and the host has nothing to do.
 const recordTimeLimit = 150 * time.Millisecond
 
-// startPending reports whether a run waits for this host to send its start. One that its
-// target did not answer is the target's matter.
+// startPending reports whether a run waits for this host to send its start. A start that
+// its target did not answer is not due to the host and does not count.
 func (r *run) startPending(now time.Time) bool {
 	switch r.phase {
 	case recorded:
@@ -37,10 +37,11 @@
 	return false
 }
 
-// SetOrderTime tells how long an order usually takes, its wait in the host counted in.
+// SetOrderTime sets how long an order usually takes, including its wait on the host. The
+// caller sets it before each decision.
 func (m *Machine) SetOrderTime(d time.Duration) { m.orderTime = d }
 
-// countBacklog counts the starts that are on their way.
+// countBacklog counts the pending starts.
 func (m *Machine) countBacklog(now time.Time) {
 	m.backlog.urgent, m.backlog.total = 0, 0
 	if m.backlog.limit == 0 {
@@ -62,7 +63,7 @@
 	}
 }
 
-// full reports whether nothing more may be placed of a job. Urgent starts go first,
+// full reports whether nothing more of a job may be placed. Urgent starts are sent first,
 // so others do not count against them.
 func (b *backlog) full(j *job) bool {
 	if b.limit == 0 {
@@ -74,8 +75,8 @@
 	return b.total >= b.limit
 }
 
-// throttled reports whether a step waits for starts that are on their way. One that must
-// begin now, since that is guaranteed to its account, waits for nothing.
+// throttled reports whether a step waits for pending starts. A step that must begin now
+// to meet its account's guarantee does not wait.
 func (m *Machine) throttled(s *step, now time.Time) bool {
 	return m.backlog.full(s.job) && !m.guaranteeDue(s, now)
 }
--- a/internal/work/dispatch/backlog_test.go
+++ b/internal/work/dispatch/backlog_test.go
@@ -24,7 +24,7 @@
 	return j
 }
 
-// savedStarts returns the starts that a decision asks for once its runs are saved.
+// savedStarts has the machine decide, saves what it asks for, and returns the starts.
 func savedStarts(d *simulation) (starts []Start) {
 	for _, c := range d.m.Decide(d.now) {
 		switch c := c.(type) {
@@ -39,7 +39,7 @@
 	return starts
 }
 
-// startAll has the machine start what it would, and has all starts answered.
+// startAll has the machine decide, and answers all its starts.
 func (d *simulation) startAll() {
 	d.m.nextPassAt = time.Time{} // no pause since the last pass
 	for _, c := range savedStarts(d) {
@@ -47,9 +47,9 @@
 	}
 }
 
-// A step of 200 tasks comes to a host that can order 40 starts in a short time. It
-// placed and sent them all: what came next, however urgent, waited behind them. Now the
-// rest is placed as answers come, and urgent work goes between.
+// A host that can order 40 starts in a short time gets a step of 200 tasks. If it sent all
+// starts at once, later work would wait behind them however urgent it is. The rest must be
+// placed as answers arrive, and urgent work must go ahead of it.
 func TestPendingStartsAreLimited(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 6, 8, DefaultBounds())
@@ -66,11 +66,11 @@
 		d.m.StartAnswered(c.Target.ID, c.Order.Run, 1, nil, d.now)
 	}
 	d.now = d.now.Add(backlogPause)
-	is.Equal(len(savedStarts(d)), 36) // beside the four urgent ones
+	is.Equal(len(savedStarts(d)), 36) // besides the four urgent ones
 }
 
-// Starts that a target does not answer are not the host's: they hold up nothing once
-// their first try is over.
+// Starts that a target does not answer are not due to the host: they delay no other start
+// once their first try has failed.
 func TestUnansweredStartsDoNotCountAsPending(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 6, 8, DefaultBounds())
@@ -85,7 +85,7 @@
 	is.Equal(len(savedStarts(d)), 20)
 }
 
-// What an account is guaranteed must begin in time, however much else is on its way.
+// Guaranteed work must begin in time, however many starts are pending.
 func TestGuaranteedWorkIgnoresPendingStartLimit(t *testing.T) {
 	is := is.New(t)
 	b := DefaultBounds()
@@ -101,9 +101,9 @@
 	is.Equal(len(savedStarts(d)), 4)
 }
 
-// A leader whose orders take a second clears room for guaranteed work so much earlier,
-// and its starts go before others. Cleared at the usual time, the work began a second
-// after it had to.
+// On a host whose orders are slow, guaranteed work must preempt earlier by the time of two
+// orders, and its starts must go before others. With orders that took a second, preempting
+// at the usual time let such work begin a second too late.
 func TestGuaranteedWorkPreemptsEarlierOnSlowHost(t *testing.T) {
 	is := is.New(t)
 	b := DefaultBounds()
@@ -111,7 +111,7 @@
 	d.m.SetGuarantees(map[string]int{"a": 100})
 	d.m.Accept(d.makeJob(1, 2, small(64)), d.now)
 	d.startAll()
-	d.now = d.now.Add(30 * time.Second) // all that runs is too dear to stop for less
+	d.now = d.now.Add(30 * time.Second) // all that runs is too costly to preempt for other work
 	const slow = 500 * time.Millisecond
 	d.m.SetOrderTime(slow)
 	d.m.Accept(d.makeJob(2, 0, urgent(4, 8)), d.now)
@@ -123,8 +123,8 @@
 	is.Equal(d.m.startClass(s, d.now), limiter.Start)
 }
 
-// A gang of 16 ends. Each of its other members was told to stop, though it had ended
-// with the one that was listed first: a third of all orders of a leader were such.
+// When a gang of 16 completes, its members must not be stopped after the first listed end,
+// since they have ended with it. Such stops were a third of all orders of a leader.
 func TestEndedGangIsNotStopped(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 2, 8, DefaultBounds())
