--- a/internal/work/dispatch/retention.go
+++ b/internal/work/dispatch/retention.go
@@ -8,28 +8,27 @@
 )
 
 const (
-	// forgetSlack is kept beyond the retention that clients were promised, for
-	// clocks that differ.
+	// forgetSlack extends the retention that clients were promised, since clocks differ.
 	forgetSlack = 30 * time.Second
-	// maxForgetJobs bounds the jobs of one Forget: three rows each stay under the
-	// store's 100 entries.
+	// maxForgetJobs bounds the jobs of one Forget: with three rows each it stays under the
+	// store's limit of 100 entries.
 	maxForgetJobs = 30
-	// forgetInterval is the time between two passes: rows are many and small, and
-	// nothing waits for them to go.
+	// forgetInterval is the time between two passes: rows are many and small, and nothing
+	// waits for their removal.
 	forgetInterval = 5 * time.Second
 )
 
-// forgetEnded asks to take out jobs whose state need not be told any more. They
-// stay known until that has happened, so a pass that failed is made again.
+// forgetEnded issues a Forget for jobs whose retention is over. They stay known until
+// their rows are removed, so a removal that failed is tried again in a later pass.
 func (m *Machine) forgetEnded(now time.Time) {
 	if now.Before(m.nextForgetAt) {
 		return
 	}
 	m.nextForgetAt = now.Add(forgetInterval)
-	limit := now.Add(m.wallOffset - m.bounds.Retention - forgetSlack).UnixMilli()
+	cutoff := now.Add(m.wallOffset - m.bounds.Retention - forgetSlack).UnixMilli()
 	byPart := map[int][]graph.JobID{}
 	for id, j := range m.jobs {
-		if j.published.Final() && j.endedAt < limit && len(j.liveRuns) == 0 && !j.dirty && j.savedRev == j.rev {
+		if j.published.Final() && j.endedAt < cutoff && len(j.liveRuns) == 0 && !j.dirty && j.savedRev == j.rev {
 			byPart[j.part] = append(byPart[j.part], id)
 		}
 	}
@@ -41,7 +40,7 @@
 	}
 }
 
-// Forgotten takes in that the rows of jobs were taken out.
+// Forgotten removes jobs after their rows were removed from the store.
 func (m *Machine) Forgotten(f Forget) {
 	for _, id := range f.Jobs {
 		delete(m.jobs, id)
