--- a/internal/work/dispatch/urgency.go
+++ b/internal/work/dispatch/urgency.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// How much work may be thrown away for urgent work, as a multiple of the urgent
-// work itself. At the start of its slack little is, since room often comes free
-// by itself; at its end up to what the users' prices make even: a job that ends
-// in time earns about four times what its own work is worth as waste.
+// Factors that bound the work lost to preemption for urgent work, as multiples of the
+// urgent work itself. The bound is low at the start of the urgent work's slack, since
+// runs often end and free their capacity in time, and reaches break-even by the users'
+// prices at its end: a job that ends in time earns about four times what its own work
+// would cost as waste.
 const (
 	initialLossFactor = 2.0
 	finalLossFactor   = 4.0
 	lateLossFactor    = 1.0
 )
 
-// reclaimMargin is kept of the time within which guaranteed work must have
-// begun: for the note in the store, the way to the targets, and a tick.
+// reclaimMargin is the part of the time within which guaranteed work must have begun that
+// is kept for saving the runs, reaching the targets, and a tick.
 const reclaimMargin = 500 * time.Millisecond
 
-// allowedLoss returns how many core-seconds may be thrown away now to make room
-// for a step, whole or for one of its tasks.
+// allowedLoss returns how many core-seconds of work may be lost now to preemption for a
+// number of a step's tasks.
 func (m *Machine) allowedLoss(s *step, tasks int, now time.Time) float64 {
 	if m.guaranteeDue(s, now) {
 		return math.Inf(1)
@@ -37,21 +38,21 @@
 	}
 }
 
-// guaranteeDue reports whether a step must have begun by the time that its account
-// is guaranteed, and that time is near: room is then cleared at any cost.
+// guaranteeDue reports whether a step is guaranteed to its account and must begin now to
+// meet the guarantee. It may then preempt at any cost.
 func (m *Machine) guaranteeDue(s *step, now time.Time) bool {
 	j := s.job
 	if j.spec.Priority != 0 || len(s.spec.After) > 0 || !m.withinGuarantee(j.spec.Account) {
 		return false
 	}
-	// A stop and a start follow each other. On a host that orders slowly, room that is
-	// cleared at the usual time comes too late.
+	// A start follows a stop, so two orders are allowed for: on a host whose orders are
+	// slow, preempting at the usual time would be too late.
 	due := s.releaseTime() + (m.bounds.ReclaimTime - m.bounds.MaxStopTime - reclaimMargin - 2*m.orderTime).Milliseconds()
 	return m.wallMS(now) >= due
 }
 
-// withinGuarantee reports whether all that an account's open jobs of priority 0
-// want is guaranteed to it.
+// withinGuarantee reports whether an account is guaranteed all accelerators that its open
+// jobs of priority 0 need.
 func (m *Machine) withinGuarantee(account string) bool {
 	guaranteed := m.guaranteed[account]
 	if guaranteed == 0 {
@@ -63,7 +64,8 @@
 	return m.pass.wanted[account] <= guaranteed
 }
 
-// wantedByAccount returns how many accelerators the open jobs of priority 0 want.
+// wantedByAccount returns how many accelerators the open jobs of priority 0 need, by
+// account.
 func (m *Machine) wantedByAccount() map[string]int {
 	wanted := map[string]int{}
 	for _, j := range m.jobs {
