--- a/internal/work/dispatch/long_running.go
+++ b/internal/work/dispatch/long_running.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// moveLongRunning moves long-running tasks off a target that leaves, as many at a time as
-// their step may miss: each is away for a moment only, instead of from its
-// target's end until that is noticed.
+// moveLongRunning moves long-running tasks off a draining target, at most as many at a
+// time as may be unavailable of their step. Each is then unavailable for a moment only,
+// instead of from the target's end until that is noticed.
 func (m *Machine) moveLongRunning(t *target, now time.Time) {
 	if !t.Draining {
 		return
@@ -15,12 +15,12 @@
 			continue
 		}
 		if other := m.chooseTarget(r.task, now); other != nil && other != t {
-			m.stop(r, "its target leaves", now)
+			m.stop(r, "its target drains", now)
 		}
 	}
 }
 
-// unavailable returns how many tasks of a long-running step are not at work.
+// unavailable returns how many tasks of a long-running step are not serving.
 func (s *step) unavailable() int {
 	n := 0
 	for _, x := range s.tasks {
