--- a/internal/work/dispatch/at_most_once_test.go
+++ b/internal/work/dispatch/at_most_once_test.go
@@ -12,9 +12,8 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// A billed order may run at most once. Its target crashes while it runs: nobody
-// knows how far it came, so it is not started again, and its caller is told that
-// it failed.
+// The target of an at-most-once job crashes while the job runs. How far it came is not
+// known, so it must not be started again, and its client must see it as failed.
 func TestAtMostOnceJobIsNotRestarted(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
@@ -32,7 +31,7 @@
 	d.check()
 }
 
-// The same order is done before anything goes wrong.
+// An at-most-once job that ends without a fault completes.
 func TestAtMostOnceJobCompletes(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
@@ -52,7 +51,7 @@
 	is.Equal(state, progress.Completed)
 }
 
-// A start that was certainly not sent is no run: the order is started elsewhere.
+// A refused start is no run: an at-most-once job is placed again.
 func TestAtMostOnceJobIsPlacedAgainAfterRefusal(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
@@ -68,8 +67,8 @@
 	is.Equal(len(commands[Start](s)), 1)
 }
 
-// A job that is of no use after a while is given up if nothing of it has started
-// by then, and its caller is told that it did not run.
+// A job with a latest start is given up if nothing of it has started by then, and its
+// client is told that it did not run.
 func TestUnstartedJobExpires(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 1, DefaultBounds())
--- a/internal/work/dispatch/restore_test.go
+++ b/internal/work/dispatch/restore_test.go
@@ -17,7 +17,7 @@
 	return &graph.Job{ID: id, Queue: "q", Service: "s", MaxAttempts: 2, Steps: []graph.Step{small(tasks)}, AcceptedAt: 1000000}
 }
 
-// fixture is a machine that is told by hand what happens.
+// fixture is a machine with one target whose events the test supplies.
 type fixture struct {
 	*Machine
 	now time.Time
@@ -31,16 +31,16 @@
 	return s
 }
 
-// report has the target report.
+// report passes the machine a report of the target.
 func (s *fixture) report(rep order.Report) {
 	rep.Clock = s.now.UnixMilli()
 	s.Polled("t1", Poll{Sent: s.now}, rep, s.now)
 }
 
-// saves returns the saves that the machine asks for, and takes them as done.
+// saves returns the rows that the machine saves, and confirms the saves.
 func (s *fixture) saves() []SaveRow {
 	var rows []SaveRow
-	s.now = s.now.Add(time.Millisecond) // a pass rests a little after the one before
+	s.now = s.now.Add(time.Millisecond) // there is a pause between passes
 	for _, c := range s.Decide(s.now) {
 		if c, ok := c.(Save); ok {
 			rows = append(rows, c.Rows...)
@@ -50,13 +50,14 @@
 	return rows
 }
 
+// testRun returns a run of a task in the job's first step.
 func testRun(id graph.JobID, index, number int) order.Run {
 	return order.Run{Task: graph.StepID{Job: id}.Task(index), Number: number}
 }
 
-// A job was completed, then cancelled. A new leader is listed an end of it. To
-// save the job again under the condition that it was not cancelled would be
-// refused for ever, and hold up the progress of all jobs of its part.
+// A target lists an end of a job that was completed, then cancelled, to a new leader.
+// Saving the job again under the condition that it was not cancelled would be refused
+// forever, and block the saves of all jobs of its part.
 func TestEndOfCompletedJobIsNotSaved(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
@@ -70,9 +71,9 @@
 	is.Equal(state, progress.Completed)
 }
 
-// A leader saved that a run failed, and was lost before it could acknowledge the
-// end. Its successor is listed the same end. Counted again, it would be the
-// second failure of two that are allowed, and the job be shown as failed.
+// A leader saved that a run failed and was lost before it acknowledged the end, so the end
+// is listed to the next leader again. Counted twice, it would exhaust the two attempts and
+// fail the job.
 func TestFailureReportedToTwoLeadersCountsOnce(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
@@ -90,10 +91,9 @@
 	is.Equal(state, progress.Failed) // the second failure does count
 }
 
-// A gang ends on two targets. The end that was listed first made the job
-// complete; that is not saved yet. The other end must not be acknowledged before
-// it is: if the leader is lost and the first target dies, nothing else tells that
-// the gang is done.
+// The first listed end of a gang completes its job, which is not saved yet. The other
+// member's end must not be acknowledged before that: if the leader is lost and the first
+// target dies, it is the only record that the gang is done.
 func TestEndIsAcknowledgedAfterSave(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
@@ -110,9 +110,9 @@
 	is.Equal(s.targets["t1"].acked, int64(2))
 }
 
-// A new leader finds in the rows where a run was placed. Its target reports
-// without it: the order that was recorded was never carried out, and cannot be any
-// more, since the target has seen the new term. The task is started again.
+// A new leader reads in the rows where a run was placed, and that target reports without
+// it: the recorded start was never executed, and cannot be any more, since the target has
+// seen the new term. The task must be started again.
 func TestRecordedRunThatNeverStarted(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
@@ -134,8 +134,8 @@
 	is.Equal(started[0].Order.Run.Number, 2)
 }
 
-// A recorded run's target does not report. Its task waits until all leases have
-// lapsed that the earlier leader can have granted, and is started elsewhere then.
+// A recorded run's target does not report. The task must wait until all leases that the
+// earlier leader can have granted have lapsed, and then start elsewhere.
 func TestRecordedRunOnUnreachableTarget(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
