--- a/internal/work/dispatch/orders.go
+++ b/internal/work/dispatch/orders.go
@@ -137,8 +137,8 @@
 	r.task.step.job.started = true
 }
 
-// startRefused handles a target's refusal to start a run. If the run belongs to a gang,
-// the whole gang is stopped.
+// startRefused handles a start that the target refused and will not execute later. If the
+// run belongs to a gang, the whole gang is stopped.
 func (m *Machine) startRefused(r *run, err error, now time.Time) {
 	t := r.target
 	m.log.Decided("start refused", "target", t.ID, "task", r.Task, "run", r.Number, "error", err.Error())
