--- a/internal/operator/command/serve.go
+++ b/internal/operator/command/serve.go
@@ -103,7 +103,7 @@
 		return err
 	}
 	defer site.Close()
-	site.LearnFromRows()
+	site.ReadJobsFromStore()
 	if _, err := fmt.Fprintf(c.out, "store at %s, %d targets\n", site.Address(), c.Racks*c.PerRack); err != nil {
 		return err
 	}
--- a/internal/operator/demo/deployment.go
+++ b/internal/operator/demo/deployment.go
@@ -34,7 +34,7 @@
 		end()
 		return nil, err
 	}
-	p.LearnFromRows()
+	p.ReadJobsFromStore()
 	ways := func(_ int, log logr.Logger) station.Ports { return platform.Ports(p.Address(), log) }
 	hosts, err := site.Start(ways, site.WithOperatorKey(keyHash), site.WithLog(log))
 	if err != nil {
--- a/internal/proof/soak/deployment_test.go
+++ b/internal/proof/soak/deployment_test.go
@@ -64,12 +64,12 @@
 func newDeployment(ctx context.Context, t *testing.T, dir string) *deployment {
 	d := &deployment{t: t}
 	ip := ownIP(platformIP)
-	size := standin.Size{Racks: 3, PerRack: 3, Zones: zones, Through: func(address string) string { return d.through(ip, address) }}
+	size := standin.Size{Racks: 3, PerRack: 3, Zones: zones, AdvertisedAddress: func(address string) string { return d.through(ip, address) }}
 	var err error
 	if d.site, err = standin.Open(ctx, ip+":0", "refill", size); err != nil {
 		t.Fatal(err)
 	}
-	d.site.LearnFromRows()
+	d.site.ReadJobsFromStore()
 	hash := credential.NewKey(operatorKey).Hash()
 	for i := range hostCount {
 		h, err := newHost(dir, ownIP(hostIP+i), zones[i%len(zones)], d.site.Address(), hash, i)
