--- a/internal/host/api/operator_test.go
+++ b/internal/host/api/operator_test.go
@@ -32,11 +32,11 @@
 	shared := pool.Share(ctx, pool.New(pool.DefaultBounds()))
 	s, err := site.Start(func(host int, _ logr.Logger) station.Ports {
 		rnd := rand.New(rand.NewPCG(uint64(host), 1))
-		return station.Ports{Store: rows.NewLink(table, rnd), Line: pool.NewLine(shared, 0, rnd), Roster: shared}
+		return station.Ports{Store: rows.NewLink(table, rnd), Line: pool.NewTransport(shared, 0, rnd), Roster: shared}
 	}, site.WithHosts(1), site.WithOperatorKey(credential.NewKey("first").Hash()), site.WithSettings(settings.WithUnreadyTime(time.Millisecond)))
 	is.NoErr(err)
 	defer func() { is.NoErr(s.Stop()) }()
-	host := s.Callers(0)[:1]
+	host := s.CallerAddresses(0)[:1]
 	first, named := client.New(host, "first", nil), client.New(host, "named", nil)
 	_, err = named.Configuration(ctx)
 	is.Equal(statusOf(err), http.StatusUnauthorized)
--- a/internal/host/dispatcher/narrow_link_test.go
+++ b/internal/host/dispatcher/narrow_link_test.go
@@ -113,7 +113,7 @@
 			}, 1, now)
 		}
 	})
-	link := &narrowLink{Transport: pool.NewLine(r.pool, time.Millisecond, rand.New(rand.NewPCG(1, 1))), perSecond: perSecond}
+	link := &narrowLink{Transport: pool.NewTransport(r.pool, time.Millisecond, rand.New(rand.NewPCG(1, 1))), perSecond: perSecond}
 	r.d = New(r.rows, link, r.pool, dispatch.DefaultBounds(), logr.Discard(), WithClock(time.Now))
 	term := leader.NewTerm(1, time.Now().Add(time.Hour)) // as if the row were renewed all the time
 	go func() { r.ended <- r.d.Lead(ctx, term, true) }()
@@ -168,7 +168,7 @@
 			is.Equal(p.Breaches(), nil)
 			is.Equal(p.Starts(), r.tasks) // nothing was started twice
 			for n := range gangs {
-				is.Equal(p.Done(graph.JobID(fmt.Sprintf("%016x", n+1))), members)
+				is.Equal(p.TasksDone(graph.JobID(fmt.Sprintf("%016x", n+1))), members)
 			}
 		})
 	})
--- a/internal/host/entry/entry_test.go
+++ b/internal/host/entry/entry_test.go
@@ -178,7 +178,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(ErrNotAccepted)
-		r.link.Set(rows.Trouble{Lose: 1})
+		r.link.SetFaults(rows.Faults{LostAnswers: 1})
 		err := r.entry.Submit(ctx, job(someJob, "kiosks"))
 		is.True(r.table.Get(dispatcher.JobKey(partitionOf(someJob), someJob)).Version > 0) // it took effect
 		is.True(!errors.Is(err, ErrNotAccepted))
@@ -191,7 +191,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(ErrNotAccepted)
-		r.link.Set(rows.Trouble{Refuse: true})
+		r.link.SetFaults(rows.Faults{Refuse: true})
 		_, err := r.entry.State(ctx, someJob, kiosks)
 		is.True(errors.Is(err, ErrUnavailable))
 		is.True(strings.Contains(err.Error(), errLeaderUnknownJob.Error()))
@@ -206,7 +206,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(ErrNotAccepted)
-		r.link.Set(rows.Trouble{Lose: 0.6})
+		r.link.SetFaults(rows.Faults{LostAnswers: 0.6})
 		for i := range 50 {
 			began := time.Now()
 			is.NoErr(r.entry.Submit(ctx, job(graph.JobID(fmt.Sprintf("%016x", i)), "kiosks")))
@@ -220,7 +220,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(ErrNotAccepted)
-		r.link.Set(rows.Trouble{Silent: true})
+		r.link.SetFaults(rows.Faults{Unresponsive: true})
 		shortCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 		defer cancel()
 		began := time.Now()
@@ -238,14 +238,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(errors.New("a peer was called"))
-		r.link.Set(rows.Trouble{Slow: time.Second})
+		r.link.SetFaults(rows.Faults{Latency: time.Second})
 		_, _ = r.entry.store.Read(ctx, store.Range{Table: "any"}) // so that the host measures the latency
 		slowCtx, cancel := context.WithTimeout(ctx, 3*time.Second)
 		defer cancel()
 		began := time.Now()
 		is.NoErr(r.entry.Submit(slowCtx, job(someJob, "kiosks")))
 		is.True(time.Since(began) < 1500*time.Millisecond)
-		r.link.Set(rows.Trouble{Slow: 5 * time.Second})
+		r.link.SetFaults(rows.Faults{Latency: 5 * time.Second})
 		slowerCtx, cancel := context.WithTimeout(ctx, 3*time.Second)
 		defer cancel()
 		began = time.Now()
@@ -267,13 +267,13 @@
 		go r.entry.store.Run(running)
 		time.Sleep(5 * time.Second)
 		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
-		r.link.Set(rows.Trouble{Silent: true})
+		r.link.SetFaults(rows.Faults{Unresponsive: true})
 		time.Sleep(2500 * time.Millisecond)
 		began := time.Now()
 		err := r.entry.Submit(ctx, job("00000000000000cc", "kiosks"))
 		is.True(errors.Is(err, ErrNotAccepted))
 		is.Equal(time.Since(began), time.Duration(0))
-		r.link.Set(rows.Trouble{})
+		r.link.SetFaults(rows.Faults{})
 		time.Sleep(1200 * time.Millisecond)
 		is.NoErr(r.entry.Submit(ctx, job("00000000000000cc", "kiosks")))
 	})
@@ -291,7 +291,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				r := newRig(c.peer)
-				r.link.Set(rows.Trouble{Refuse: true})
+				r.link.SetFaults(rows.Faults{Refuse: true})
 				err := r.entry.Submit(ctx, job(someJob, "kiosks"))
 				is.True(errors.Is(err, c.want))
 				is.Equal(errors.Is(err, ErrNotAccepted), c.want == ErrNotAccepted)
--- a/internal/host/leader/election_test.go
+++ b/internal/host/leader/election_test.go
@@ -183,7 +183,7 @@
 		time.Sleep(3 * time.Second)
 		is.True(!b.leads())
 		term := a.OwnTerm()
-		a.link.Set(rows.Trouble{Silent: true})
+		a.link.SetFaults(rows.Faults{Unresponsive: true})
 		time.Sleep(leader.Lease / 2)
 		is.True(!b.leads())
 		time.Sleep(leader.Lease + 2*leader.ReadInterval)
@@ -238,11 +238,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			before, after := runEightHosts(t, seed, func(hosts []*host) {
 				for _, h := range hosts {
-					h.link.Set(rows.Trouble{Refuse: seed%2 == 0, Silent: seed%2 == 1})
+					h.link.SetFaults(rows.Faults{Refuse: seed%2 == 0, Unresponsive: seed%2 == 1})
 				}
 				time.Sleep(4*time.Second + time.Duration(seed)*67*time.Millisecond)
 				for _, h := range hosts {
-					h.link.Set(rows.Trouble{})
+					h.link.SetFaults(rows.Faults{})
 				}
 			})
 			if after != before {
@@ -261,7 +261,7 @@
 				var refusedAt time.Time
 				for _, h := range hosts {
 					if h.leads() {
-						h.link.Set(rows.Trouble{Refuse: true})
+						h.link.SetFaults(rows.Faults{Refuse: true})
 						refusedAt = time.Now()
 					}
 				}
@@ -288,7 +288,7 @@
 				refused := map[*host]bool{}
 				for i, h := range hosts {
 					if h.leads() || i%3 == 0 {
-						h.link.Set(rows.Trouble{Refuse: true})
+						h.link.SetFaults(rows.Faults{Refuse: true})
 						refused[h] = true
 					}
 				}
@@ -299,7 +299,7 @@
 					}
 				}
 				for h := range refused {
-					h.link.Set(rows.Trouble{})
+					h.link.SetFaults(rows.Faults{})
 				}
 				time.Sleep(time.Second)
 			})
@@ -317,21 +317,21 @@
 			runEightHosts(t, seed, func(hosts []*host) {
 				for _, h := range hosts {
 					if h.leads() {
-						h.link.Set(rows.Trouble{Silent: true})
+						h.link.SetFaults(rows.Faults{Unresponsive: true})
 						time.Sleep(time.Second + time.Duration(seed)*50*time.Millisecond)
-						h.link.Set(rows.Trouble{})
+						h.link.SetFaults(rows.Faults{})
 						break
 					}
 				}
 				time.Sleep(2 * time.Second)
 				for _, h := range hosts { // the present leader is superseded as well
 					if h.leads() {
-						h.link.Set(rows.Trouble{Silent: true})
+						h.link.SetFaults(rows.Faults{Unresponsive: true})
 					}
 				}
 				time.Sleep(4 * time.Second)
 				for _, h := range hosts {
-					h.link.Set(rows.Trouble{})
+					h.link.SetFaults(rows.Faults{})
 				}
 				time.Sleep(leader.Grace)
 			})
@@ -378,7 +378,7 @@
 		is := is.New(t)
 		table := rows.New(transactionTime)
 		a := startHost(table, "a", 1)
-		a.link.Set(rows.Trouble{Lose: 1})
+		a.link.SetFaults(rows.Faults{LostAnswers: 1})
 		time.Sleep(3 * time.Second)
 		is.True(a.leads())
 		is.Equal(a.OwnTerm().Number(), int64(1))
--- a/internal/host/station/evacuation_test.go
+++ b/internal/host/station/evacuation_test.go
@@ -37,7 +37,7 @@
 	r.table.Remove(evacuationKey("leon"))
 	r.until(t, "celaya alone", r.evacuated("celaya"))
 	is.Equal(r.Catalog().Version(), int64(2))
-	r.table.Forget()
+	r.table.Compact()
 	r.table.Put(evacuationKey("leon"), []byte("{}"))
 	r.until(t, "both again", r.evacuated("celaya", "leon"))
 	r.table.Remove(evacuationKey("celaya"))
--- a/internal/host/station/station_test.go
+++ b/internal/host/station/station_test.go
@@ -61,7 +61,7 @@
 		r.lines = append(r.lines, line)
 	}, funcr.Options{})
 	r.link = rows.NewLink(r.table, rnd)
-	ports := station.Ports{Store: r.link, Line: pool.NewLine(shared, 0, rnd), Roster: shared}
+	ports := station.Ports{Store: r.link, Line: pool.NewTransport(shared, 0, rnd), Roster: shared}
 	id := station.Identity{Name: "leon-1", Zone: "leon", Peers: l.Addr().String()}
 	r.Station = station.New(id, ports, station.Configuration{Key: configKey, Decode: decode, Evacuated: zoneOf}, log, station.WithUnreadyTime(10*time.Millisecond))
 	go func() {
@@ -71,7 +71,7 @@
 }
 
 // refuse has the store turn the host away, or serve it again.
-func (r *running) refuse(on bool) { r.link.Set(rows.Trouble{Refuse: on}) }
+func (r *running) refuse(on bool) { r.link.SetFaults(rows.Faults{Refuse: on}) }
 
 // until waits for something to come true, up to the test's own time-out.
 func (r *running) until(t *testing.T, what string, f func() bool) {
--- a/internal/operator/demo/demo.go
+++ b/internal/operator/demo/demo.go
@@ -75,7 +75,7 @@
 
 // printBurn prints the burn report of all hosts.
 func printBurn(ctx context.Context, b *deployment, out io.Writer) error {
-	r, err := client.New(b.hosts.Callers(0), operatorKey, nil).Burn(ctx)
+	r, err := client.New(b.hosts.CallerAddresses(0), operatorKey, nil).Burn(ctx)
 	if err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 
 // evacuate evacuates or restores a zone, and waits until the leader has that in force.
 func evacuate(ctx context.Context, b *deployment, out io.Writer, zone string, on bool) error {
-	c := client.New(b.hosts.Callers(0), operatorKey, nil)
+	c := client.New(b.hosts.CallerAddresses(0), operatorKey, nil)
 	v, _, err := c.SetEvacuated(ctx, zone, on)
 	if err != nil {
 		return err
@@ -168,7 +168,7 @@
 
 // running waits until so many jobs of the first host run.
 func running(ctx context.Context, b *deployment, want int) bool {
-	c := client.New(b.hosts.Callers(0), operatorKey, nil)
+	c := client.New(b.hosts.CallerAddresses(0), operatorKey, nil)
 	for ctx.Err() == nil {
 		n := 0
 		jobs, _ := c.Jobs(ctx)
@@ -193,7 +193,7 @@
 	time.Sleep(quickRun)
 	b.hosts.Hosts()[1].Stop()
 	rows := <-done
-	if err := b.hosts.Hosts()[1].Ended(); err != nil {
+	if err := b.hosts.Hosts()[1].Wait(); err != nil {
 		rows = append(rows, row{part: "planned stop", err: err, want: progress.Completed})
 	}
 	return rows
@@ -201,7 +201,7 @@
 
 // apply makes the text current and waits until all hosts have it in force.
 func apply(ctx context.Context, b *deployment, out io.Writer) error {
-	c := client.New(b.hosts.Callers(0), operatorKey, nil)
+	c := client.New(b.hosts.CallerAddresses(0), operatorKey, nil)
 	if _, err := c.Apply(ctx, 0, "demo-1", configuration); err != nil {
 		return fmt.Errorf("apply the demo's text: %w", err)
 	}
@@ -236,7 +236,7 @@
 	begun := time.Now()
 	service, name, _ := strings.Cut(kind, ".")
 	r := request.Request{RequestID: id, Service: service, Job: name, Input: input}
-	v, err := client.New(b.hosts.Callers(first), key, nil).Submit(ctx, r, 20*time.Second)
+	v, err := client.New(b.hosts.CallerAddresses(first), key, nil).Submit(ctx, r, 20*time.Second)
 	return row{part: part, view: v, err: err, want: want, taken: time.Since(begun)}
 }
 
--- a/internal/platform/store/monitor_test.go
+++ b/internal/platform/store/monitor_test.go
@@ -52,12 +52,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newMonitored()
-		w.link.Set(rows.Trouble{Refuse: true})
+		w.link.SetFaults(rows.Faults{Refuse: true})
 		is.True(w.read() != nil)
 		is.True(w.Up())
 		is.True(w.read() != nil)
 		is.True(!w.Up())
-		w.link.Set(rows.Trouble{})
+		w.link.SetFaults(rows.Faults{})
 		is.NoErr(w.read())
 		is.True(w.Up())
 		is.Equal(w.changes, []bool{false, true})
@@ -71,7 +71,7 @@
 		is := is.New(t)
 		w := newMonitored()
 		conflict := store.Tx{Expect: []store.Expect{{Key: key, Version: 7}}, Put: []store.Put{{Key: key, Value: []byte("x")}}}
-		w.link.Set(rows.Trouble{Silent: true})
+		w.link.SetFaults(rows.Faults{Unresponsive: true})
 		for range 5 {
 			abandoned, cancel := context.WithCancel(ctx)
 			time.AfterFunc(time.Second, cancel)
@@ -79,7 +79,7 @@
 			is.True(err != nil)
 		}
 		is.True(w.Up())
-		w.link.Set(rows.Trouble{})
+		w.link.SetFaults(rows.Faults{})
 		for range 5 {
 			_, err := w.Commit(ctx, conflict)
 			is.True(errors.Is(err, store.ErrConflict))
@@ -98,10 +98,10 @@
 		time.Sleep(10 * time.Second)
 		is.True(w.Up())
 		is.True(w.link.Calls() <= 12) // about one a second
-		w.link.Set(rows.Trouble{Silent: true})
+		w.link.SetFaults(rows.Faults{Unresponsive: true})
 		time.Sleep(2500 * time.Millisecond)
 		is.True(!w.Up())
-		w.link.Set(rows.Trouble{})
+		w.link.SetFaults(rows.Faults{})
 		time.Sleep(time.Second)
 		is.True(w.Up())
 	})
@@ -114,7 +114,7 @@
 		is := is.New(t)
 		w := newMonitored()
 		defer w.runProbes()()
-		w.link.Set(rows.Trouble{Lose: 1})
+		w.link.SetFaults(rows.Faults{LostAnswers: 1})
 		for range 3 {
 			_, err := w.Commit(ctx, store.Tx{Put: []store.Put{{Key: key, Value: []byte("x")}}})
 			is.True(errors.Is(err, store.ErrOutcomeUnknown))
@@ -134,7 +134,7 @@
 			is.NoErr(w.read())
 		}
 		is.True(w.TypicalLatency() < 2*callLatency)
-		w.link.Set(rows.Trouble{Slow: 300 * time.Millisecond})
+		w.link.SetFaults(rows.Faults{Latency: 300 * time.Millisecond})
 		for range 5 {
 			is.NoErr(w.read())
 		}
--- a/internal/proof/deployment/relay_test.go
+++ b/internal/proof/deployment/relay_test.go
@@ -15,11 +15,11 @@
 )
 
 // turnedAway returns a host that does not lead, and to which the store says no.
-func (r *rig) turnedAway(t rows.Trouble) *host {
+func (r *rig) turnedAway(t rows.Faults) *host {
 	lead := r.leader()
 	for _, h := range r.hosts {
 		if h != lead {
-			h.link.Set(t)
+			h.link.SetFaults(t)
 			return h
 		}
 	}
@@ -30,7 +30,7 @@
 // there is stored by a peer, and they are told so within their time: a client that is
 // sent to that host is served like all others.
 func TestHostTurnedAway(t *testing.T) {
-	for name, trouble := range map[string]rows.Trouble{"refused": {Refuse: true}, "silent": {Silent: true}} {
+	for name, trouble := range map[string]rows.Faults{"refused": {Refuse: true}, "silent": {Unresponsive: true}} {
 		t.Run(name, func(t *testing.T) {
 			play(t, 31, 4, 2, func(r *rig) {
 				is := is.New(r.t)
@@ -50,9 +50,9 @@
 				is.NoErr(err)
 				is.Equal(told.State, progress.Running)
 				is.NoErr(h.entry.Cancel(ctx, j.ID, mine))
-				r.shared.Do(func(p *pool.Pool, now time.Time) { p.Cancelled(j.ID, now) })
+				r.shared.Do(func(p *pool.Pool, now time.Time) { p.RecordCancelled(j.ID, now) })
 				time.Sleep(2 * time.Second)
-				r.shared.Do(func(p *pool.Pool, _ time.Time) { is.Equal(p.BusyOf(j.ID), 0) })
+				r.shared.Do(func(p *pool.Pool, _ time.Time) { is.Equal(p.RunningOf(j.ID), 0) })
 			})
 		})
 	}
@@ -64,7 +64,7 @@
 	play(t, 32, 4, 1, func(r *rig) {
 		is := is.New(r.t)
 		time.Sleep(2 * time.Second)
-		r.allLinks(rows.Trouble{Silent: true})
+		r.allLinks(rows.Faults{Unresponsive: true})
 		time.Sleep(3 * time.Second)
 		for _, h := range r.hosts {
 			began := time.Now()
@@ -72,7 +72,7 @@
 			is.True(err != nil)
 			is.True(time.Since(began) < 100*time.Millisecond)
 		}
-		r.allLinks(rows.Trouble{})
+		r.allLinks(rows.Faults{})
 		time.Sleep(2 * time.Second)
 	})
 }
--- a/internal/proof/deployment/rig_test.go
+++ b/internal/proof/deployment/rig_test.go
@@ -58,7 +58,7 @@
 	name     string
 	address  string
 	link     *rows.Link
-	line     *pool.Line
+	line     *pool.Transport
 	election *leader.Election
 	entry    *entry.Entry
 	net      *peer.Transport
@@ -122,7 +122,7 @@
 	h := &host{rig: r, name: name, address: name, end: end, over: make(chan struct{})}
 	log := r.logger(name)
 	h.link = rows.NewLink(r.table, rand.New(rand.NewPCG(r.rnd.Uint64(), 2)))
-	h.line = pool.NewLine(r.shared, time.Millisecond, rand.New(rand.NewPCG(r.rnd.Uint64(), 3)))
+	h.line = pool.NewTransport(r.shared, time.Millisecond, rand.New(rand.NewPCG(r.rnd.Uint64(), 3)))
 	monitor := store.NewMonitor(h.link, leader.RowKey, func(up bool, err error) { log.Info("store", "serves", up, "error", fmt.Sprint(err)) })
 	desk := dispatcher.New(monitor, h.line, r.shared, dispatch.DefaultBounds(), log, dispatcher.WithClock(time.Now))
 	x := rpc.New(h.address, desk, catalog.NewKeeper(nil), monitor.Up, rpc.WithCores(1))
@@ -159,8 +159,8 @@
 // kill ends a host at once: nothing that it would say at its end gets out.
 func (r *rig) kill(h *host) {
 	h.dead = true
-	h.link.Set(rows.Trouble{Refuse: true})
-	h.line.Set(pool.Fault{Cut: r.allTargets()})
+	h.link.SetFaults(rows.Faults{Refuse: true})
+	h.line.SetFaults(pool.Faults{Unreachable: r.allTargets()})
 	h.net.Close()
 	h.end()
 	<-h.over
@@ -266,7 +266,7 @@
 			cancel()
 			if err == nil {
 				s.set(func() { s.cancelled = true })
-				r.shared.Do(func(p *pool.Pool, now time.Time) { p.Cancelled(s.job.ID, now) })
+				r.shared.Do(func(p *pool.Pool, now time.Time) { p.RecordCancelled(s.job.ID, now) })
 				return
 			}
 			time.Sleep(500 * time.Millisecond)
@@ -348,7 +348,7 @@
 		tasks += step.Count
 	}
 	r.shared.Do(func(p *pool.Pool, _ time.Time) {
-		if done := p.Done(s.job.ID); done != tasks*s.job.Occurrences() {
+		if done := p.TasksDone(s.job.ID); done != tasks*s.job.Occurrences() {
 			r.fault("job %s is shown as completed with %d of %d tasks done", s.job.ID, done, tasks)
 		}
 	})
--- a/internal/proof/deployment/store_test.go
+++ b/internal/proof/deployment/store_test.go
@@ -11,10 +11,10 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-func (r *rig) allLinks(t rows.Trouble) {
+func (r *rig) allLinks(t rows.Faults) {
 	for _, h := range r.hosts {
 		if !h.dead {
-			h.link.Set(t)
+			h.link.SetFaults(t)
 		}
 	}
 }
@@ -23,7 +23,7 @@
 // what runs keeps its leases, ends are acknowledged once the store is back, and
 // no run is lost.
 func TestStoreDown(t *testing.T) {
-	for name, trouble := range map[string]rows.Trouble{"silent": {Silent: true}, "refused": {Refuse: true}} {
+	for name, trouble := range map[string]rows.Faults{"silent": {Unresponsive: true}, "refused": {Refuse: true}} {
 		t.Run(name, func(t *testing.T) {
 			play(t, 11, 4, 2, func(r *rig) {
 				is := is.New(r.t)
@@ -34,7 +34,7 @@
 				r.allLinks(trouble)
 				time.Sleep(8 * time.Second)
 				is.Equal(r.leader(), old) // nobody could take over
-				r.allLinks(rows.Trouble{})
+				r.allLinks(rows.Faults{})
 				r.settle(30 * time.Second)
 				is.True(before <= 30)
 				is.Equal(starts(r), 30) // nothing was started twice
@@ -49,8 +49,8 @@
 // later. Each outcome is settled by reading back: no job is refused that was
 // stored, no task is run twice, none is forgotten.
 func TestStoreLosesAnswers(t *testing.T) {
-	for name, trouble := range map[string]rows.Trouble{
-		"lost": {Lose: 0.4}, "late": {Late: 0.3, LateBy: 3 * time.Second}, "slow": {Slow: 400 * time.Millisecond},
+	for name, trouble := range map[string]rows.Faults{
+		"lost": {LostAnswers: 0.4}, "late": {LateWrites: 0.3, LateBy: 3 * time.Second}, "slow": {Latency: 400 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			play(t, 12, 4, 2, func(r *rig) {
@@ -60,7 +60,7 @@
 					load(r)
 					time.Sleep(time.Second)
 				}
-				r.allLinks(rows.Trouble{})
+				r.allLinks(rows.Faults{})
 				r.settle(60 * time.Second)
 			})
 		})
@@ -80,7 +80,7 @@
 		}
 		load(r)
 		time.Sleep(50 * time.Millisecond)
-		r.table.Forget()
+		r.table.Compact()
 		time.Sleep(3 * time.Second)
 		for _, h := range r.hosts {
 			r.wires.set(h.address, lead.address, false)
--- a/internal/proof/deployment/takeover_test.go
+++ b/internal/proof/deployment/takeover_test.go
@@ -80,7 +80,7 @@
 // all targets. The row stands still, so a standby takes it over and fences the
 // targets; the old leader is refused there and gives up.
 func TestLeaderCutFromStore(t *testing.T) {
-	for name, trouble := range map[string]rows.Trouble{"silent": {Silent: true}, "refused": {Refuse: true}} {
+	for name, trouble := range map[string]rows.Faults{"silent": {Unresponsive: true}, "refused": {Refuse: true}} {
 		t.Run(name, func(t *testing.T) {
 			play(t, 5, 4, 2, func(r *rig) {
 				is := is.New(r.t)
@@ -88,12 +88,12 @@
 				load(r)
 				time.Sleep(time.Second)
 				old := r.leader()
-				old.link.Set(trouble)
+				old.link.SetFaults(trouble)
 				time.Sleep(4 * time.Second)
 				is.True(old.election.OwnTerm() == nil) // it was refused by a fence
 				is.True(r.leader() != nil)
 				time.Sleep(2 * time.Second)
-				old.link.Set(rows.Trouble{})
+				old.link.SetFaults(rows.Faults{})
 				r.settle(30 * time.Second)
 			})
 		})
@@ -118,19 +118,19 @@
 				inside[t.ID], outside[t.ID] = t.Zone == "zone0", t.Zone != "zone0"
 			}
 		})
-		old.link.Set(rows.Trouble{Silent: true})
-		old.line.Set(pool.Fault{Cut: outside})
+		old.link.SetFaults(rows.Faults{Unresponsive: true})
+		old.line.SetFaults(pool.Faults{Unreachable: outside})
 		for _, h := range r.hosts {
 			if h != old {
 				r.wires.set(h.address, old.address, true)
-				h.line.Set(pool.Fault{Cut: inside})
+				h.line.SetFaults(pool.Faults{Unreachable: inside})
 			}
 		}
 		time.Sleep(9 * time.Second)
-		old.link.Set(rows.Trouble{})
+		old.link.SetFaults(rows.Faults{})
 		for _, h := range r.hosts {
 			r.wires.set(h.address, old.address, false)
-			h.line.Set(pool.Fault{})
+			h.line.SetFaults(pool.Faults{})
 		}
 		r.settle(60 * time.Second)
 	})
@@ -153,14 +153,14 @@
 		old := r.leader()
 		for _, h := range r.hosts {
 			if h != old {
-				h.line.Set(pool.Fault{Cut: some})
+				h.line.SetFaults(pool.Faults{Unreachable: some})
 			}
 		}
 		r.kill(old)
 		time.Sleep(12 * time.Second)
 		for _, h := range r.hosts {
 			if !h.dead {
-				h.line.Set(pool.Fault{})
+				h.line.SetFaults(pool.Faults{})
 			}
 		}
 		r.settle(40 * time.Second)
--- a/internal/proof/deployment/target_test.go
+++ b/internal/proof/deployment/target_test.go
@@ -16,10 +16,10 @@
 	return store.Key{Table: table, Partition: "1", Name: name}
 }
 
-func (r *rig) allLines(f pool.Fault) {
+func (r *rig) allLines(f pool.Faults) {
 	for _, h := range r.hosts {
 		if !h.dead {
-			h.line.Set(f)
+			h.line.SetFaults(f)
 		}
 	}
 }
@@ -29,8 +29,8 @@
 // until a stop was answered, so no target gets more than it can hold, and its
 // task is started nowhere else meanwhile.
 func TestOrdersLostOrLate(t *testing.T) {
-	for name, fault := range map[string]pool.Fault{
-		"lost": {Lose: 0.1}, "late": {Late: 0.1, LateBy: 4 * time.Second}, "both": {Lose: 0.1, Late: 0.1, LateBy: 7 * time.Second},
+	for name, fault := range map[string]pool.Faults{
+		"lost": {LostAnswers: 0.1}, "late": {LateOrders: 0.1, LateBy: 4 * time.Second}, "both": {LostAnswers: 0.1, LateOrders: 0.1, LateBy: 7 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			play(t, 21, 3, 2, func(r *rig) {
@@ -40,7 +40,7 @@
 					load(r)
 					time.Sleep(time.Second)
 				}
-				r.allLines(pool.Fault{})
+				r.allLines(pool.Faults{})
 				r.settle(60 * time.Second)
 			})
 		})
@@ -61,9 +61,9 @@
 				cut[t.ID] = i%3 == 0
 			}
 		})
-		r.allLines(pool.Fault{Cut: cut})
+		r.allLines(pool.Faults{Unreachable: cut})
 		time.Sleep(9 * time.Second)
-		r.allLines(pool.Fault{})
+		r.allLines(pool.Faults{})
 		r.settle(60 * time.Second)
 	})
 }
@@ -131,7 +131,7 @@
 		r.shared.Do(func(p *pool.Pool, _ time.Time) {
 			for _, s := range r.jobs {
 				if _, cancelled, _ := s.get(); cancelled {
-					is.Equal(p.BusyOf(s.job.ID), 0)
+					is.Equal(p.RunningOf(s.job.ID), 0)
 				}
 			}
 		})
--- a/internal/proof/deployment/trouble_test.go
+++ b/internal/proof/deployment/trouble_test.go
@@ -72,7 +72,7 @@
 			r.wires.set(h.address, r.host(x.Which).address, true)
 		}
 	case "forget":
-		r.table.Forget()
+		r.table.Compact()
 	case "cancel":
 		for _, s := range r.jobs {
 			if accepted, _, _ := s.get(); accepted && r.rnd.Float64() < x.Share {
@@ -101,25 +101,25 @@
 func (r *rig) beginLink(x trouble) {
 	switch x.Kind {
 	case "cut store":
-		r.host(x.Which).link.Set(rows.Trouble{Silent: true})
+		r.host(x.Which).link.SetFaults(rows.Faults{Unresponsive: true})
 	case "cut leader from store":
 		if h := r.leader(); h != nil {
-			h.link.Set(rows.Trouble{Refuse: true})
+			h.link.SetFaults(rows.Faults{Refuse: true})
 		}
 	case "store down":
-		r.allLinks(rows.Trouble{Silent: x.Which%2 == 0, Refuse: x.Which%2 == 1})
+		r.allLinks(rows.Faults{Unresponsive: x.Which%2 == 0, Refuse: x.Which%2 == 1})
 	case "store loses":
-		r.allLinks(rows.Trouble{Lose: x.Share})
+		r.allLinks(rows.Faults{LostAnswers: x.Share})
 	case "store late":
-		r.allLinks(rows.Trouble{Late: x.Share, LateBy: time.Duration(x.Which) * time.Second / 2})
+		r.allLinks(rows.Faults{LateWrites: x.Share, LateBy: time.Duration(x.Which) * time.Second / 2})
 	case "store slow":
-		r.allLinks(rows.Trouble{Slow: time.Duration(x.Which) * 80 * time.Millisecond})
+		r.allLinks(rows.Faults{Latency: time.Duration(x.Which) * 80 * time.Millisecond})
 	case "orders lost":
-		r.allLines(pool.Fault{Lose: x.Share / 2})
+		r.allLines(pool.Faults{LostAnswers: x.Share / 2})
 	case "orders late":
-		r.allLines(pool.Fault{Late: x.Share / 2, LateBy: time.Duration(x.Which) * time.Second})
+		r.allLines(pool.Faults{LateOrders: x.Share / 2, LateBy: time.Duration(x.Which) * time.Second})
 	case "cut targets":
-		r.allLines(pool.Fault{Cut: r.some(x.Share)})
+		r.allLines(pool.Faults{Unreachable: r.some(x.Share)})
 	case "cut zone":
 		r.cutZone(x.Which)
 	}
@@ -148,11 +148,11 @@
 			continue
 		}
 		r.wires.set(h.address, lone.address, true)
-		h.line.Set(pool.Fault{Cut: inside})
+		h.line.SetFaults(pool.Faults{Unreachable: inside})
 	}
 	if !lone.dead {
-		lone.link.Set(rows.Trouble{Silent: true})
-		lone.line.Set(pool.Fault{Cut: outside})
+		lone.link.SetFaults(rows.Faults{Unresponsive: true})
+		lone.line.SetFaults(pool.Faults{Unreachable: outside})
 	}
 }
 
@@ -169,15 +169,15 @@
 			r.reborn++
 			p.Add(r.target(x.Which%3, x.Which%4, 1+r.reborn), 0.99, now)
 		case "target hangs":
-			p.Hang(id, true)
+			p.SetStalled(id, true)
 		case "target fails":
-			p.FailAll(id, true)
+			p.SetFailing(id, true)
 		case "target slow":
-			p.Slow(id, 0.2)
+			p.SetSpeed(id, 0.2)
 		case "target drains":
 			p.Drain(id)
 		case "target rejects":
-			p.Reject(id, true)
+			p.SetRejecting(id, true)
 		}
 	})
 }
@@ -187,8 +187,8 @@
 func (r *rig) heal(x trouble) {
 	r.logger("test").Info("healed", "kind", x.Kind)
 	r.healHosts()
-	r.allLinks(rows.Trouble{})
-	r.allLines(pool.Fault{})
+	r.allLinks(rows.Faults{})
+	r.allLines(pool.Faults{})
 	if strings.HasPrefix(x.Kind, "target") {
 		r.healTargets()
 	}
@@ -211,10 +211,10 @@
 	r.shared.Do(func(p *pool.Pool, now time.Time) {
 		there := map[string]bool{}
 		for _, t := range p.Roster() {
-			p.Hang(t.ID, false)
-			p.FailAll(t.ID, false)
-			p.Slow(t.ID, 1)
-			p.Reject(t.ID, false)
+			p.SetStalled(t.ID, false)
+			p.SetFailing(t.ID, false)
+			p.SetSpeed(t.ID, 1)
+			p.SetRejecting(t.ID, false)
 			if t.Draining {
 				p.Kill(t.ID, now)
 				continue
@@ -235,6 +235,6 @@
 func (r *rig) healAll() {
 	r.healHosts()
 	r.healTargets()
-	r.allLinks(rows.Trouble{})
-	r.allLines(pool.Fault{})
+	r.allLinks(rows.Faults{})
+	r.allLines(pool.Faults{})
 }
--- a/internal/proof/session/operator_test.go
+++ b/internal/proof/session/operator_test.go
@@ -57,7 +57,7 @@
 // versions are the words of a view in which each host has the version in force.
 func (s *session) versions(version int) (words []string) {
 	for _, h := range s.site.Hosts() {
-		words = append(words, fmt.Sprintf(`"host":%q,"version":%d,`, h.Peer(), version))
+		words = append(words, fmt.Sprintf(`"host":%q,"version":%d,`, h.PeerAddress(), version))
 	}
 	return words
 }
@@ -83,12 +83,12 @@
 	s.note("a base that was never current")
 	s.do(call{0, operator, "PUT", "/v1/configuration", change(9, "first-10", configuration)})
 	s.note("the platform is down: not accepted")
-	s.trouble(rows.Trouble{Refuse: true})
+	s.trouble(rows.Faults{Refuse: true})
 	s.do(call{0, operator, "PUT", "/v1/configuration", change(3, "first-4", configuration+"# four\n")})
 	s.note("the platform makes the write and loses the answer; sent again, it is settled")
-	s.trouble(rows.Trouble{Lose: 1})
+	s.trouble(rows.Faults{LostAnswers: 1})
 	s.do(call{0, operator, "PUT", "/v1/configuration", change(3, "first-4", configuration+"# four\n")})
-	s.trouble(rows.Trouble{})
+	s.trouble(rows.Faults{})
 	s.do(call{0, operator, "PUT", "/v1/configuration", change(3, "first-4", configuration+"# four\n")})
 	s.settle(4)
 	s.do(call{2, operator, "GET", "/v1/configuration", ""})
--- a/internal/proof/session/session_test.go
+++ b/internal/proof/session/session_test.go
@@ -92,7 +92,7 @@
 	b, err := site.Start(func(host int, _ logr.Logger) station.Ports {
 		link := rows.NewLink(table, rand.New(rand.NewPCG(uint64(host), 1)))
 		s.links = append(s.links, link)
-		line := pool.NewLine(shared, 0, rand.New(rand.NewPCG(uint64(host), 2)))
+		line := pool.NewTransport(shared, 0, rand.New(rand.NewPCG(uint64(host), 2)))
 		return station.Ports{Store: link, Line: line, Roster: shared}
 	}, site.WithHosts(1), site.WithOperatorKey(credential.NewKey(operator).Hash()), site.WithSettings(settings.WithUnreadyTime(10*time.Millisecond)))
 	if err != nil {
@@ -100,7 +100,7 @@
 	}
 	s.site = b
 	t.Cleanup(func() {
-		s.trouble(rows.Trouble{})
+		s.trouble(rows.Faults{})
 		if err := b.Stop(); err != nil {
 			t.Error(err)
 		}
@@ -112,7 +112,7 @@
 // newTargets returns four targets in each zone, which find their jobs in the table.
 func newTargets(ctx context.Context, table *rows.Table) *pool.Shared {
 	p := pool.New(pool.DefaultBounds())
-	p.LearnBy(site.StoredJobs(table))
+	p.SetLookup(site.StoredJobs(table))
 	for _, zone := range site.Zones {
 		for i := range 4 {
 			id := fmt.Sprintf("%s-w%02d", zone, i)
@@ -126,9 +126,9 @@
 }
 
 // trouble sets what ails all hosts' ways to the store.
-func (s *session) trouble(t rows.Trouble) {
+func (s *session) trouble(t rows.Faults) {
 	for _, l := range s.links {
-		l.Set(t)
+		l.SetFaults(t)
 	}
 }
 
@@ -136,7 +136,7 @@
 func (s *session) learn() {
 	var words []string
 	for i, h := range s.site.Hosts() {
-		words = append(words, h.Peer(), fmt.Sprintf("PEER%d", i), h.Caller(), fmt.Sprintf("CALLER%d", i))
+		words = append(words, h.PeerAddress(), fmt.Sprintf("PEER%d", i), h.CallerAddress(), fmt.Sprintf("CALLER%d", i))
 	}
 	s.secrets = strings.NewReplacer(words...)
 }
@@ -204,7 +204,7 @@
 
 func (s *session) send(c call) (int, http.Header, []byte) {
 	s.t.Helper()
-	req, err := http.NewRequest(c.method, "http://"+s.site.Hosts()[c.host].Caller()+c.path, strings.NewReader(c.body))
+	req, err := http.NewRequest(c.method, "http://"+s.site.Hosts()[c.host].CallerAddress()+c.path, strings.NewReader(c.body))
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -96,7 +96,7 @@
 	case "change":
 		d.change(time.Now().Add(settleTime))
 	case "forget":
-		d.site.Table.Forget()
+		d.site.Table.Compact()
 	default:
 		d.harmTarget(a)
 	}
@@ -118,7 +118,7 @@
 		list := p.Roster()
 		id = list[a.which%len(list)].ID
 		if a.what == "hang" {
-			p.Hang(id, true)
+			p.SetStalled(id, true)
 			return
 		}
 		if len(list) > 6 { // enough are left for each kind of job
@@ -126,7 +126,7 @@
 		}
 	})
 	time.Sleep(a.length)
-	d.site.Shared.Do(func(p *pool.Pool, _ time.Time) { p.Hang(id, false) })
+	d.site.Shared.Do(func(p *pool.Pool, _ time.Time) { p.SetStalled(id, false) })
 }
 
 // play plays a script and returns what was broken.
--- a/internal/standin/pool/pool.go
+++ b/internal/standin/pool/pool.go
@@ -11,41 +11,41 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// Bounds are the figures of the targets.
+// Bounds are the limits and times of the targets.
 type Bounds struct {
-	Lease       time.Duration // longest that is granted
-	StopTime    time.Duration
-	GangTimeout time.Duration
-	SaveEvery   time.Duration // of work, between two checkpoints
-	Far         float64
+	Lease              time.Duration // longest that may be granted
+	StopTime           time.Duration
+	GangTimeout        time.Duration
+	CheckpointInterval time.Duration // of work
+	FarFactor          float64
 }
 
-// DefaultBounds returns the figures of today's deployments.
+// DefaultBounds returns the bounds of today's deployments.
 func DefaultBounds() Bounds {
 	return Bounds{
 		Lease: 6 * time.Second, StopTime: 400 * time.Millisecond, GangTimeout: 3 * time.Second,
-		SaveEvery: 2 * time.Second, Far: 3,
+		CheckpointInterval: 2 * time.Second, FarFactor: 3,
 	}
 }
 
-// Behaviour is what the tasks of a job do.
+// Behaviour describes how the tasks of a job run.
 type Behaviour struct {
-	Work  func(id graph.TaskID) time.Duration // of one run from its beginning
-	Fails func(id graph.TaskID, run int) bool // through the task's own fault, half way
+	Work  func(id graph.TaskID) time.Duration // of a run without a checkpoint
+	Fails func(id graph.TaskID, run int) bool // half way, by the task's own fault
 }
 
-// work is a job that was submitted.
-type work struct {
-	job       *graph.Job
-	does      Behaviour
-	cancelled time.Time             // when its cancelling was acknowledged; zero: it was not
-	done      map[graph.TaskID]bool // ended as done, wherever
-	noted     map[graph.TaskID]bool // such an end was acknowledged
-	failures  map[graph.TaskID]int  // ends as failed that were acknowledged
-	starts    int                   // of its tasks, on all targets
+// jobState is a submitted job and what is known of its tasks.
+type jobState struct {
+	job           *graph.Job
+	behaviour     Behaviour
+	cancelledAt   time.Time             // when the cancellation was acknowledged; zero: never
+	done          map[graph.TaskID]bool // ended as done on any target
+	ackedDone     map[graph.TaskID]bool // ends as done that were acknowledged
+	ackedFailures map[graph.TaskID]int  // ends as failed that were acknowledged
+	starts        int                   // of all its tasks on all targets
 }
 
-// Breach is a start that breaks a promise.
+// Breach is a start that violates a guarantee of the system.
 type Breach struct {
 	At     time.Time
 	Rule   string
@@ -59,26 +59,26 @@
 	return fmt.Sprintf("%s %s: %s run %d on %s: %s", b.At.Format("05.000"), b.Rule, b.Run.Task, b.Run.Number, b.Target, b.Why)
 }
 
-// Pool is the stand-in's state. It is not safe for several goroutines.
+// Pool is the state of the simulated targets. It is not safe for concurrent use.
 type Pool struct {
-	bounds   Bounds
-	targets  map[string]*target // by id, the dead ones too
-	byHost   map[string]*target // the life at an address
-	jobs     map[graph.JobID]*work
-	breaches []Breach
-	starts   int
-	now      time.Time
-	lookup   Lookup // nil: jobs are made known by Submit only
+	bounds    Bounds
+	targets   map[string]*target // by id, including dead ones
+	byAddress map[string]*target // the live incarnation at each address
+	jobs      map[graph.JobID]*jobState
+	breaches  []Breach
+	starts    int
+	now       time.Time
+	lookup    Lookup // nil: only submitted jobs are known
 }
 
-// Lookup finds a job that was not made known; nil if there is none.
+// Lookup returns a job that was not submitted to the pool, nil if there is none.
 type Lookup func(id graph.JobID) (*graph.Job, Behaviour)
 
-// LearnBy sets where jobs are found that start without having been made known.
-func (p *Pool) LearnBy(f Lookup) { p.lookup = f }
+// SetLookup sets the lookup for jobs that were not submitted to the pool.
+func (p *Pool) SetLookup(f Lookup) { p.lookup = f }
 
-// find returns a job, nil if nobody submitted it.
-func (p *Pool) find(id graph.JobID) *work {
+// findJob returns a submitted job, looking it up if needed; nil if there is none.
+func (p *Pool) findJob(id graph.JobID) *jobState {
 	if p.jobs[id] == nil && p.lookup != nil {
 		if j, does := p.lookup(id); j != nil {
 			p.Submit(j, does)
@@ -89,19 +89,20 @@
 
 // New returns a pool without targets.
 func New(b Bounds) *Pool {
-	return &Pool{bounds: b, targets: map[string]*target{}, byHost: map[string]*target{}, jobs: map[graph.JobID]*work{}}
+	return &Pool{bounds: b, targets: map[string]*target{}, byAddress: map[string]*target{}, jobs: map[graph.JobID]*jobState{}}
 }
 
-// Add begins a life of a target. The one before it at the address is over.
+// Add starts an incarnation of a target and kills the earlier one at the address. Its
+// clock runs at the rate, relative to true time.
 func (p *Pool) Add(t roster.Target, rate float64, now time.Time) {
-	if old := p.byHost[t.Address]; old != nil {
+	if old := p.byAddress[t.Address]; old != nil {
 		p.Kill(old.ID, now)
 	}
-	life := &target{Target: t, born: now, rate: rate, speed: 1, runs: map[order.Run]*exec{}, barred: map[graph.TaskID]int{}}
-	p.targets[t.ID], p.byHost[t.Address] = life, life
+	incarnation := &target{Target: t, startedAt: now, clockRate: rate, speed: 1, runs: map[order.Run]*execution{}, staleThrough: map[graph.TaskID]int{}}
+	p.targets[t.ID], p.byAddress[t.Address] = incarnation, incarnation
 }
 
-// Kill ends a life. Nothing is listed any more.
+// Kill ends an incarnation without reporting the ends of its runs.
 func (p *Pool) Kill(id string, now time.Time) {
 	t := p.targets[id]
 	if t == nil || t.dead {
@@ -109,53 +110,53 @@
 	}
 	p.Advance(now)
 	t.dead = true
-	for _, x := range t.sorted() {
+	for _, x := range t.sortedRuns() {
 		delete(t.runs, x.Run)
 		p.breakGang(x)
 	}
-	if p.byHost[t.Address] == t {
-		delete(p.byHost, t.Address)
+	if p.byAddress[t.Address] == t {
+		delete(p.byAddress, t.Address)
 	}
 }
 
-// Hang has the tasks of a target stand still, or go on.
-func (p *Pool) Hang(id string, on bool) { p.targets[id].hangs = on }
+// SetStalled sets whether the tasks of a target make no progress.
+func (p *Pool) SetStalled(id string, on bool) { p.targets[id].stalled = on }
 
-// Slow sets the speed of a target's tasks: 1 is that of a sound one.
-func (p *Pool) Slow(id string, speed float64) { p.targets[id].speed = speed }
+// SetSpeed sets the speed of a target's tasks, relative to that of a healthy target.
+func (p *Pool) SetSpeed(id string, speed float64) { p.targets[id].speed = speed }
 
-// FailAll has everything that a target starts fail.
-func (p *Pool) FailAll(id string, on bool) { p.targets[id].fails = on }
+// SetFailing sets whether every run that a target starts fails at once.
+func (p *Pool) SetFailing(id string, on bool) { p.targets[id].failing = on }
 
-// Reject has a target take no work, or take it again.
-func (p *Pool) Reject(id string, on bool) { p.targets[id].rejects = on }
+// SetRejecting sets whether a target refuses starts as unhealthy.
+func (p *Pool) SetRejecting(id string, on bool) { p.targets[id].rejecting = on }
 
-// Submit makes a job known; starts of others are breaches.
+// Submit adds a job. A start of an unknown job is a breach.
 func (p *Pool) Submit(j *graph.Job, b Behaviour) {
-	p.jobs[j.ID] = &work{job: j, does: b, done: map[graph.TaskID]bool{}, noted: map[graph.TaskID]bool{}, failures: map[graph.TaskID]int{}}
+	p.jobs[j.ID] = &jobState{job: j, behaviour: b, done: map[graph.TaskID]bool{}, ackedDone: map[graph.TaskID]bool{}, ackedFailures: map[graph.TaskID]int{}}
 }
 
-// Knows reports whether a job was made known.
-func (p *Pool) Knows(id graph.JobID) bool { return p.jobs[id] != nil }
+// HasJob reports whether a job was submitted or looked up.
+func (p *Pool) HasJob(id graph.JobID) bool { return p.jobs[id] != nil }
 
-// Cancelled notes that a job's cancelling was acknowledged.
-func (p *Pool) Cancelled(id graph.JobID, now time.Time) {
-	if w := p.jobs[id]; w != nil && w.cancelled.IsZero() {
-		w.cancelled = now
+// RecordCancelled records that the cancellation of a job was acknowledged.
+func (p *Pool) RecordCancelled(id graph.JobID, now time.Time) {
+	if j := p.jobs[id]; j != nil && j.cancelledAt.IsZero() {
+		j.cancelledAt = now
 	}
 }
 
-// Breaches returns the promises broken so far.
+// Breaches returns the breaches so far.
 func (p *Pool) Breaches() []Breach { return p.breaches }
 
-// Starts returns how many runs were started.
+// Starts returns the number of runs started.
 func (p *Pool) Starts() int { return p.starts }
 
-// StartsOn returns how many runs were started on a target.
+// StartsOn returns the number of runs started on a target.
 func (p *Pool) StartsOn(id string) int { return p.targets[id].starts }
 
-// BusyOf returns how many runs of a job are there.
-func (p *Pool) BusyOf(id graph.JobID) int {
+// RunningOf returns the number of runs of a job that are on targets.
+func (p *Pool) RunningOf(id graph.JobID) int {
 	n := 0
 	for _, t := range p.targets {
 		for r := range t.runs {
@@ -167,20 +168,19 @@
 	return n
 }
 
-// StartsOf returns how many runs of a job were started, 0 for a job that is not
-// known.
+// StartsOf returns the number of runs of a job started, 0 for an unknown job.
 func (p *Pool) StartsOf(id graph.JobID) int {
-	if w := p.jobs[id]; w != nil {
-		return w.starts
+	if j := p.jobs[id]; j != nil {
+		return j.starts
 	}
 	return 0
 }
 
-// Done returns how many tasks of a job have ended as done.
-func (p *Pool) Done(id graph.JobID) int { return len(p.jobs[id].done) }
+// TasksDone returns the number of tasks of a job that ended as done.
+func (p *Pool) TasksDone(id graph.JobID) int { return len(p.jobs[id].done) }
 
-// Busy returns how many runs are there.
-func (p *Pool) Busy() int {
+// Running returns the number of runs on all targets.
+func (p *Pool) Running() int {
 	n := 0
 	for _, t := range p.targets {
 		n += len(t.runs)
@@ -188,7 +188,7 @@
 	return n
 }
 
-// Roster returns the targets that live, sorted.
+// Roster returns the live targets, sorted by id.
 func (p *Pool) Roster() []roster.Target {
 	var list []roster.Target
 	for _, t := range p.targets {
@@ -200,5 +200,5 @@
 	return list
 }
 
-// Drain has a target say that it leaves.
+// Drain marks a target as draining.
 func (p *Pool) Drain(id string) { p.targets[id].Draining = true }
--- a/internal/standin/pool/running.go
+++ b/internal/standin/pool/running.go
@@ -10,8 +10,8 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// Advance lets time pass. Steps should be short: within one, things happen in a
-// fixed order.
+// Advance advances the pool's time. Steps should be short: within a step, events are
+// processed in a fixed order.
 func (p *Pool) Advance(now time.Time) {
 	passed := now.Sub(p.now)
 	if p.now.IsZero() || passed <= 0 {
@@ -21,14 +21,14 @@
 		return
 	}
 	p.now = now
-	for _, t := range p.sorted() {
+	for _, t := range p.sortedTargets() {
 		if !t.dead {
-			p.advance(t, passed, now)
+			p.advanceTarget(t, passed, now)
 		}
 	}
 }
 
-func (p *Pool) sorted() []*target {
+func (p *Pool) sortedTargets() []*target {
 	list := make([]*target, 0, len(p.targets))
 	for _, t := range p.targets {
 		list = append(list, t)
@@ -37,10 +37,10 @@
 	return list
 }
 
-func (p *Pool) advance(t *target, passed time.Duration, now time.Time) {
-	if len(t.runs) > 0 && t.clock(now) >= t.lease {
-		t.lapsed = t.number
-		for _, x := range t.sorted() {
+func (p *Pool) advanceTarget(t *target, passed time.Duration, now time.Time) {
+	if len(t.runs) > 0 && t.clock(now) >= t.leaseEnd {
+		t.lapsedThrough = t.lastEnd
+		for _, x := range t.sortedRuns() {
 			if t.runs[x.Run] == x {
 				t.end(x, order.Lapsed)
 				p.breakGang(x)
@@ -48,62 +48,62 @@
 		}
 		return
 	}
-	for _, x := range t.sorted() {
+	for _, x := range t.sortedRuns() {
 		if t.runs[x.Run] == x {
 			p.advanceRun(x, passed, now)
 		}
 	}
 }
 
-func (p *Pool) advanceRun(x *exec, passed time.Duration, now time.Time) {
+func (p *Pool) advanceRun(x *execution, passed time.Duration, now time.Time) {
 	switch {
 	case !x.stopAt.IsZero() && !now.Before(x.stopAt):
-		if x.works {
-			x.saved = x.base + x.total - x.base - x.left
+		if x.active {
+			x.savedWork = x.restoredWork + x.totalWork - x.restoredWork - x.workLeft
 		}
 		x.target.end(x, order.Stopped)
 		p.breakGang(x)
 		return
-	case !x.works && now.Sub(x.startAt) >= p.bounds.GangTimeout:
+	case !x.active && now.Sub(x.startedAt) >= p.bounds.GangTimeout:
 		x.target.end(x, order.GangIncomplete)
 		p.breakGang(x)
 		return
-	case !x.works || x.target.hangs:
+	case !x.active || x.target.stalled:
 		return
 	}
-	x.left -= time.Duration(float64(passed) * x.target.speed)
-	if done := x.total - x.left; x.step.Checkpointing && done-x.saved >= p.bounds.SaveEvery {
-		x.saved = done
+	x.workLeft -= time.Duration(float64(passed) * x.target.speed)
+	if done := x.totalWork - x.workLeft; x.step.Checkpointing && done-x.savedWork >= p.bounds.CheckpointInterval {
+		x.savedWork = done
 	}
 	if x.step.LongRunning {
-		x.left = max(x.left, 1)
+		x.workLeft = max(x.workLeft, 1)
 	}
-	if x.failsAtOnce || (x.willFail && x.left <= x.total/2) {
+	if x.failsAtOnce || (x.willFail && x.workLeft <= x.totalWork/2) {
 		x.target.end(x, order.Failed)
 		p.breakGang(x)
 		return
 	}
-	if x.left <= 0 {
-		p.finish(x)
+	if x.workLeft <= 0 {
+		p.completeRun(x)
 	}
 }
 
-// finish ends a run as done, with its whole gang.
-func (p *Pool) finish(x *exec) {
-	for _, y := range p.gang(x) {
-		y.def.done[y.Task] = true
+// completeRun ends a run, with its whole gang, as done.
+func (p *Pool) completeRun(x *execution) {
+	for _, y := range p.gangMembers(x) {
+		y.jobState.done[y.Task] = true
 		y.target.end(y, order.Done)
 	}
 }
 
-// gang returns the runs that work together with x, itself among them.
-func (p *Pool) gang(x *exec) []*exec {
+// gangMembers returns the live runs of x's gang, including x; x alone without a gang.
+func (p *Pool) gangMembers(x *execution) []*execution {
 	if !x.step.Gang {
-		return []*exec{x}
+		return []*execution{x}
 	}
-	var members []*exec
-	for _, t := range p.sorted() {
-		for _, y := range t.sorted() {
+	var members []*execution
+	for _, t := range p.sortedTargets() {
+		for _, y := range t.sortedRuns() {
 			if !t.dead && y.Task.StepID == x.Task.StepID && y.Number == x.Number {
 				members = append(members, y)
 			}
@@ -112,40 +112,40 @@
 	return members
 }
 
-// joinGang lets a gang work once all its members are there.
-func (p *Pool) joinGang(x *exec) {
-	members := p.gang(x)
+// joinGang activates a gang once all its members have started.
+func (p *Pool) joinGang(x *execution) {
+	members := p.gangMembers(x)
 	if len(members) < x.step.Count {
 		return
 	}
 	total, racks := time.Duration(0), map[string]bool{}
 	for _, y := range members {
-		total = max(total, y.total)
+		total = max(total, y.totalWork)
 		racks[y.target.Rack] = true
 	}
 	if x.step.SameRack && len(racks) > 1 {
-		total = time.Duration(float64(total) * p.bounds.Far)
+		total = time.Duration(float64(total) * p.bounds.FarFactor)
 	}
 	for _, y := range members {
-		y.works, y.total = true, total
-		y.left = max(total-y.base, 0)
+		y.active, y.totalWork = true, total
+		y.workLeft = max(total-y.restoredWork, 0)
 	}
 }
 
-// breakGang ends the other members after one ended.
-func (p *Pool) breakGang(x *exec) {
+// breakGang ends the other members of a gang after x ended.
+func (p *Pool) breakGang(x *execution) {
 	if !x.step.Gang {
 		return
 	}
-	for _, y := range p.gang(x) {
+	for _, y := range p.gangMembers(x) {
 		if y != x {
 			y.target.end(y, order.GangBroken)
 		}
 	}
 }
 
-// formatCheckpoint returns a checkpoint that names its task, or its gang, and
-// the work that it covers.
+// formatCheckpoint returns a checkpoint that names its task or gang and the work that
+// it covers.
 func formatCheckpoint(id graph.TaskID, gang bool, saved time.Duration) string {
 	name := id.String()
 	if gang {
--- a/internal/standin/pool/target.go
+++ b/internal/standin/pool/target.go
@@ -10,49 +10,49 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// target is one life of a target.
+// target is one incarnation of a target.
 type target struct {
 	roster.Target
-	born    time.Time
-	rate    float64 // of its clock against true time: 1, or a little less
-	dead    bool
-	hangs   bool    // its tasks make no progress
-	speed   float64 // of its tasks: 1 on a sound target
-	fails   bool    // all that it starts fails at once
-	token   int64
-	lease   int64 // on its clock
-	runs    map[order.Run]*exec
-	ended   []order.Ended
-	number  int64
-	acked   int64
-	barred  map[graph.TaskID]int // runs up to this one do not start
-	lapsed  int64                // ends up to this number were listed before a lease lapsed
-	starts  int
-	rejects bool // takes no work now
+	startedAt     time.Time
+	clockRate     float64 // relative to true time: 1, or a little less
+	dead          bool
+	stalled       bool    // tasks make no progress
+	speed         float64 // of tasks: 1 on a healthy target
+	failing       bool    // runs started now fail at once
+	highestToken  int64
+	leaseEnd      int64 // on the target's clock
+	runs          map[order.Run]*execution
+	unackedEnds   []order.Ended
+	lastEnd       int64
+	acked         int64
+	staleThrough  map[graph.TaskID]int // highest run of each task that must not start any more
+	lapsedThrough int64                // highest end number when a lease last lapsed
+	starts        int
+	rejecting     bool // refuses starts
 }
 
-// exec is a run on a target.
-type exec struct {
+// execution is a run on a target.
+type execution struct {
 	order.Run
-	target      *target
-	def         *work
-	step        *graph.Step
-	startAt     time.Time
-	works       bool          // false while it waits for its gang
-	total       time.Duration // of work on this target
-	left        time.Duration // of work
-	base        time.Duration // of work that its checkpoint covered
-	saved       time.Duration // of work that is saved
-	stopAt      time.Time     // when a stop takes effect; zero: none is wanted
-	willFail    bool          // by its own fault, half way
-	failsAtOnce bool
+	target       *target
+	jobState     *jobState
+	step         *graph.Step
+	startedAt    time.Time
+	active       bool          // false while waiting for the gang
+	totalWork    time.Duration // on this target
+	workLeft     time.Duration
+	restoredWork time.Duration // covered by the checkpoint it started from
+	savedWork    time.Duration // covered by its newest checkpoint
+	stopAt       time.Time     // when a stop takes effect; zero: no stop was ordered
+	willFail     bool          // half way, by the task's own fault
+	failsAtOnce  bool
 }
 
 func (t *target) clock(now time.Time) int64 {
-	return 1000 + int64(float64(now.Sub(t.born).Milliseconds())*t.rate)
+	return 1000 + int64(float64(now.Sub(t.startedAt).Milliseconds())*t.clockRate)
 }
 
-// used returns what everything on the target takes, what is being stopped too.
+// used returns the resources taken by all runs, including those being stopped.
 func (t *target) used() graph.Resources {
 	sum := graph.Resources{}
 	for _, x := range t.runs {
@@ -61,13 +61,13 @@
 	return sum
 }
 
-// sorted returns the runs in a fixed order.
-func (t *target) sorted() []*exec {
-	list := make([]*exec, 0, len(t.runs))
+// sortedRuns returns the runs, sorted by task and run number.
+func (t *target) sortedRuns() []*execution {
+	list := make([]*execution, 0, len(t.runs))
 	for _, x := range t.runs {
 		list = append(list, x)
 	}
-	slices.SortFunc(list, func(a, b *exec) int {
+	slices.SortFunc(list, func(a, b *execution) int {
 		x, y := a.Task, b.Task
 		return cmp.Or(cmp.Compare(x.Job, y.Job), cmp.Compare(x.Occurrence, y.Occurrence), cmp.Compare(x.Step, y.Step),
 			cmp.Compare(x.Index, y.Index), cmp.Compare(a.Number, b.Number))
@@ -75,18 +75,18 @@
 	return list
 }
 
-// end takes a run off and lists its end.
-func (t *target) end(x *exec, how order.EndReason) {
+// end removes a run and lists its end.
+func (t *target) end(x *execution, how order.EndReason) {
 	delete(t.runs, x.Run)
-	t.barred[x.Task] = max(t.barred[x.Task], x.Number)
-	t.number++
-	t.ended = append(t.ended, order.Ended{Number: t.number, Run: x.Run, Reason: how, Checkpoint: x.checkpoint()})
+	t.staleThrough[x.Task] = max(t.staleThrough[x.Task], x.Number)
+	t.lastEnd++
+	t.unackedEnds = append(t.unackedEnds, order.Ended{Number: t.lastEnd, Run: x.Run, Reason: how, Checkpoint: x.checkpoint()})
 }
 
 // checkpoint returns the newest checkpoint of a run, empty for none.
-func (x *exec) checkpoint() string {
-	if !x.step.Checkpointing || x.saved == 0 {
+func (x *execution) checkpoint() string {
+	if !x.step.Checkpointing || x.savedWork == 0 {
 		return ""
 	}
-	return formatCheckpoint(x.Task, x.step.Gang, x.saved)
+	return formatCheckpoint(x.Task, x.step.Gang, x.savedWork)
 }
--- a/internal/standin/rows/doc.go
+++ b/internal/standin/rows/doc.go
@@ -1,7 +1,7 @@
-// Package rows is a small stand-in for the platform's table of rows, in memory.
+// Package rows is an in-memory stand-in for the platform's store of rows.
 //
-// A Table is linearizable and loses nothing. A Link is one host's way to it: a
-// test can take the link down, make it slow, or have it lose answers after a
-// write took effect or have lost writes take effect later. Time is that of
+// A Table is linearizable and loses nothing. A Link is one host's connection to it,
+// with injected faults: refused or unanswered calls, latency, answers lost after a
+// write took effect, and unanswered writes that take effect later. Time is that of
 // package time, so tests run it in a synctest bubble.
 package rows
--- a/internal/standin/rows/link.go
+++ b/internal/standin/rows/link.go
@@ -11,60 +11,60 @@
 	"guavaglade.example/guavaglade/internal/platform/store"
 )
 
-// Trouble is what is wrong with a link.
-type Trouble struct {
-	Refuse bool          // every call is refused; nothing is done
-	Silent bool          // no call is answered; nothing is done
-	Slow   time.Duration // added to each call
-	Lose   float64       // share of the writes that are done and not answered
-	Late   float64       // share of the writes that are not answered and done later
-	LateBy time.Duration // how much later
+// Faults are the faults that a link injects.
+type Faults struct {
+	Refuse       bool          // every call is refused and has no effect
+	Unresponsive bool          // no call is answered or has an effect
+	Latency      time.Duration // added to each call
+	LostAnswers  float64       // share of the writes that take effect and are not answered
+	LateWrites   float64       // share of the writes that are not answered and take effect LateBy later
+	LateBy       time.Duration
 }
 
-// Link is one host's way to a table.
+// Link is one host's connection to a table.
 type Link struct {
-	table *Table
-	rnd   *rand.Rand
-	mu    sync.Mutex
-	wrong Trouble
-	calls int
+	table  *Table
+	rnd    *rand.Rand
+	mu     sync.Mutex
+	faults Faults
+	calls  int
 }
 
-// NewLink returns a link without trouble. rnd is used under the link's lock.
+// NewLink returns a link without faults. rnd is used under the link's lock.
 func NewLink(t *Table, rnd *rand.Rand) *Link { return &Link{table: t, rnd: rnd} }
 
-// Set changes what is wrong with the link.
-func (l *Link) Set(t Trouble) {
+// SetFaults replaces the injected faults.
+func (l *Link) SetFaults(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.wrong = t
+	l.faults = f
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls made.
 func (l *Link) Calls() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.calls
 }
 
-// draw returns what is wrong, and two draws between 0 and 1.
-func (l *Link) draw() (Trouble, float64, float64) {
+// draw counts a call and returns the faults and two random numbers in [0, 1).
+func (l *Link) draw() (Faults, float64, float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
-	return l.wrong, l.rnd.Float64(), l.rnd.Float64()
+	return l.faults, l.rnd.Float64(), l.rnd.Float64()
 }
 
-// pass waits as the link's trouble wants and returns its error, if any.
-func (l *Link) pass(ctx context.Context, t Trouble) error {
-	if t.Refuse {
+// applyFaults waits for the latency and returns the error that the faults cause, if any.
+func (l *Link) applyFaults(ctx context.Context, f Faults) error {
+	if f.Refuse {
 		return fmt.Errorf("stand-in link: %w", store.ErrUnavailable)
 	}
-	if t.Silent {
+	if f.Unresponsive {
 		<-ctx.Done()
 		return fmt.Errorf("stand-in link: %w: %w", store.ErrOutcomeUnknown, ctx.Err())
 	}
-	if err := sleep(ctx, t.Slow); err != nil {
+	if err := sleep(ctx, f.Latency); err != nil {
 		return fmt.Errorf("stand-in link: %w: %w", store.ErrOutcomeUnknown, err)
 	}
 	return nil
@@ -74,16 +74,16 @@
 
 // Commit implements store.Store.
 func (l *Link) Commit(ctx context.Context, tx store.Tx) (store.Result, error) {
-	t, lose, late := l.draw()
-	if err := l.pass(ctx, t); err != nil {
+	f, lose, late := l.draw()
+	if err := l.applyFaults(ctx, f); err != nil {
 		return store.Result{}, err
 	}
-	if late < t.Late {
-		time.AfterFunc(t.LateBy, func() { _, _ = l.table.commit(tx) }) // its answer is lost
+	if late < f.LateWrites {
+		time.AfterFunc(f.LateBy, func() { _, _ = l.table.commit(tx) }) // the answer is lost
 		return store.Result{}, fmt.Errorf("stand-in link: %w: %w", store.ErrOutcomeUnknown, errLost)
 	}
 	res, err := l.table.Commit(ctx, tx)
-	if lose < t.Lose && !errors.Is(err, store.ErrUnavailable) {
+	if lose < f.LostAnswers && !errors.Is(err, store.ErrUnavailable) {
 		return store.Result{}, fmt.Errorf("stand-in link: %w: %w", store.ErrOutcomeUnknown, errLost)
 	}
 	return res, err
@@ -91,8 +91,8 @@
 
 // Read implements store.Store.
 func (l *Link) Read(ctx context.Context, r store.Range) (store.Page, error) {
-	t, _, _ := l.draw()
-	if err := l.pass(ctx, t); err != nil {
+	f, _, _ := l.draw()
+	if err := l.applyFaults(ctx, f); err != nil {
 		return store.Page{}, err
 	}
 	return l.table.Read(ctx, r)
@@ -100,8 +100,8 @@
 
 // Changes implements store.Store.
 func (l *Link) Changes(ctx context.Context, table string, after int64, wait time.Duration) (store.Page, error) {
-	t, _, _ := l.draw()
-	if err := l.pass(ctx, t); err != nil {
+	f, _, _ := l.draw()
+	if err := l.applyFaults(ctx, f); err != nil {
 		return store.Page{}, err
 	}
 	return l.table.Changes(ctx, table, after, wait)
--- a/internal/standin/rows/table.go
+++ b/internal/standin/rows/table.go
@@ -11,58 +11,58 @@
 	"guavaglade.example/guavaglade/internal/platform/store"
 )
 
-// Limits of the table, as the platform has them.
+// Limits of a page, as on the platform.
 const (
 	pageRows  = 500
 	pageBytes = 1 << 20
 )
 
-// Table is the stand-in's state, safe for several goroutines.
+// Table is the state of the store. It is safe for concurrent use.
 type Table struct {
-	mu      sync.Mutex
-	rows    map[store.Key]store.Row
-	version int64
-	feed    []store.Row   // all changes since the history begins, in order
-	oldest  int64         // changes up to it are no longer known
-	changed chan struct{} // closed at each change
-	cost    time.Duration // of a transaction
+	mu               sync.Mutex
+	rows             map[store.Key]store.Row
+	version          int64
+	changes          []store.Row   // since the last compaction, in order
+	compactedThrough int64         // version up to which changes were dropped
+	changed          chan struct{} // closed at each change
+	latency          time.Duration // of each transaction and read
 }
 
-// New returns an empty table. Each transaction and reading takes cost.
-func New(cost time.Duration) *Table {
-	return &Table{rows: map[store.Key]store.Row{}, changed: make(chan struct{}), cost: cost}
+// New returns an empty table. Each transaction and each read takes the latency.
+func New(latency time.Duration) *Table {
+	return &Table{rows: map[store.Key]store.Row{}, changed: make(chan struct{}), latency: latency}
 }
 
 // Commit implements store.Store.
 func (t *Table) Commit(ctx context.Context, tx store.Tx) (store.Result, error) {
-	if err := check(tx); err != nil {
+	if err := validate(tx); err != nil {
 		return store.Result{}, fmt.Errorf("stand-in store: %w: %w", store.ErrUnavailable, err)
 	}
-	if err := sleep(ctx, t.cost); err != nil {
+	if err := sleep(ctx, t.latency); err != nil {
 		return store.Result{}, fmt.Errorf("stand-in store: %w: %w", store.ErrOutcomeUnknown, err)
 	}
 	return t.commit(tx)
 }
 
-// check refuses what the platform refuses.
-func check(tx store.Tx) error {
+// validate returns an error for a transaction that the platform refuses.
+func validate(tx store.Tx) error {
 	n := len(tx.Expect) + len(tx.Put) + len(tx.Remove)
 	if n > store.MaxEntries {
 		return fmt.Errorf("%d entries", n)
 	}
-	bytes, parts := 0, map[string]bool{}
+	bytes, partitions := 0, map[string]bool{}
 	for _, e := range tx.Expect {
-		parts[e.Key.Partition] = true
+		partitions[e.Key.Partition] = true
 	}
 	for _, p := range tx.Put {
-		parts[p.Key.Partition] = true
+		partitions[p.Key.Partition] = true
 		bytes += len(p.Value)
 	}
 	for _, k := range tx.Remove {
-		parts[k.Partition] = true
+		partitions[k.Partition] = true
 	}
-	if bytes > store.MaxBytes || len(parts) > 1 {
-		return fmt.Errorf("%d bytes in %d parts", bytes, len(parts))
+	if bytes > store.MaxBytes || len(partitions) > 1 {
+		return fmt.Errorf("%d bytes in %d partitions", bytes, len(partitions))
 	}
 	return nil
 }
@@ -70,28 +70,28 @@
 func (t *Table) commit(tx store.Tx) (store.Result, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var there []store.Row
+	var current []store.Row
 	conflict := false
 	for _, e := range tx.Expect {
 		r := t.rows[e.Key]
 		if r.Version != 0 {
-			there = append(there, r)
+			current = append(current, r)
 		}
 		conflict = conflict || r.Version != e.Version
 	}
 	if conflict {
-		return store.Result{Version: t.version, Rows: there}, fmt.Errorf("stand-in store: %w", store.ErrConflict)
+		return store.Result{Version: t.version, Rows: current}, fmt.Errorf("stand-in store: %w", store.ErrConflict)
 	}
 	t.version++
 	for _, p := range tx.Put {
 		r := store.Row{Key: p.Key, Value: slices.Clone(p.Value), Version: t.version}
 		t.rows[p.Key] = r
-		t.feed = append(t.feed, r)
+		t.changes = append(t.changes, r)
 	}
 	for _, k := range tx.Remove {
 		if _, ok := t.rows[k]; ok {
 			delete(t.rows, k)
-			t.feed = append(t.feed, store.Row{Key: k, Version: t.version, Removed: true})
+			t.changes = append(t.changes, store.Row{Key: k, Version: t.version, Removed: true})
 		}
 	}
 	close(t.changed)
@@ -99,21 +99,21 @@
 	return store.Result{Version: t.version}, nil
 }
 
-// Put writes a row as another writer than the system would.
+// Put writes a row on behalf of a writer outside the system.
 func (t *Table) Put(k store.Key, value []byte) int64 {
 	res, err := t.commit(store.Tx{Put: []store.Put{{Key: k, Value: value}}})
 	if err != nil {
-		return 0 // cannot happen: there is no condition
+		return 0 // cannot happen without a condition
 	}
 	return res.Version
 }
 
-// Remove takes a row out as another writer than the system would.
+// Remove removes a row on behalf of a writer outside the system.
 func (t *Table) Remove(k store.Key) {
-	_, _ = t.commit(store.Tx{Remove: []store.Key{k}}) // without a condition it cannot fail
+	_, _ = t.commit(store.Tx{Remove: []store.Key{k}}) // cannot fail without a condition
 }
 
-// Get returns a row, with version 0 if it is not there.
+// Get returns a row, with version 0 if it does not exist.
 func (t *Table) Get(k store.Key) store.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,7 +122,7 @@
 
 // Read implements store.Store.
 func (t *Table) Read(ctx context.Context, r store.Range) (store.Page, error) {
-	if err := sleep(ctx, t.cost); err != nil {
+	if err := sleep(ctx, t.latency); err != nil {
 		return store.Page{}, fmt.Errorf("stand-in store: %w: %w", store.ErrOutcomeUnknown, err)
 	}
 	t.mu.Lock()
@@ -150,12 +150,12 @@
 
 // Changes implements store.Store.
 func (t *Table) Changes(ctx context.Context, table string, after int64, wait time.Duration) (store.Page, error) {
-	if err := sleep(ctx, t.cost); err != nil {
+	if err := sleep(ctx, t.latency); err != nil {
 		return store.Page{}, fmt.Errorf("stand-in store: %w: %w", store.ErrOutcomeUnknown, err)
 	}
 	timeout := time.After(wait)
 	for {
-		page, changed, err := t.since(table, after)
+		page, changed, err := t.changesSince(table, after)
 		if err != nil || len(page.Rows) > 0 || wait == 0 {
 			return page, err
 		}
@@ -169,14 +169,14 @@
 	}
 }
 
-func (t *Table) since(table string, after int64) (store.Page, chan struct{}, error) {
+func (t *Table) changesSince(table string, after int64) (store.Page, chan struct{}, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if after < t.oldest {
+	if after < t.compactedThrough {
 		return store.Page{}, nil, fmt.Errorf("stand-in store: %w", store.ErrCompacted)
 	}
 	page := store.Page{Version: t.version}
-	for _, r := range t.feed {
+	for _, r := range t.changes {
 		if r.Version > after && r.Key.Table == table {
 			page.Rows = append(page.Rows, r)
 		}
@@ -184,11 +184,11 @@
 	return page, t.changed, nil
 }
 
-// Forget drops the history.
-func (t *Table) Forget() {
+// Compact drops the history of changes.
+func (t *Table) Compact() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.oldest, t.feed = t.version, nil
+	t.compactedThrough, t.changes = t.version, nil
 }
 
 func sleep(ctx context.Context, d time.Duration) error {
--- a/internal/standin/site/doc.go
+++ b/internal/standin/site/doc.go
@@ -1,4 +1,4 @@
-// Package site runs hosts of the system with its own interface in one process, in
-// some availability zones, with real TCP between them and their callers. The ways to
-// the platform are the caller's to give.
+// Package site runs several hosts of the system in one process, with the system's own
+// HTTP interface, in several availability zones and with real TCP between them and
+// their callers. The caller provides their connections to the platform.
 package site
--- a/internal/standin/site/jobs.go
+++ b/internal/standin/site/jobs.go
@@ -11,9 +11,9 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// StoredJobs finds jobs where the system stores them. What their tasks do stands
-// in the job's spec: {"runMillis": 200, "fail": true}; a task of which nothing is
-// said runs for its estimate.
+// StoredJobs looks up jobs in the table in which the system stores them. The job's spec
+// says how its tasks run: {"runMillis": 200, "fail": true}. Without runMillis a task
+// runs for its estimate.
 func StoredJobs(t *rows.Table) pool.Lookup {
 	return func(id graph.JobID) (*graph.Job, pool.Behaviour) {
 		row := t.Get(dispatcher.JobKey(dispatch.PartOf(id, dispatcher.Partitions), id))
@@ -24,29 +24,29 @@
 		if err != nil {
 			return nil, pool.Behaviour{}
 		}
-		return j, behaviour(j)
+		return j, specBehaviour(j)
 	}
 }
 
-// usualWork is how long a task runs of which nothing is said.
-const usualWork = time.Second
+// defaultWork is how long a task runs that has neither runMillis nor an estimate.
+const defaultWork = time.Second
 
-func behaviour(j *graph.Job) pool.Behaviour {
-	var said struct {
+func specBehaviour(j *graph.Job) pool.Behaviour {
+	var spec struct {
 		RunMillis int64 `json:"runMillis"`
 		Fail      bool  `json:"fail"`
 	}
-	_ = json.Unmarshal([]byte(j.Spec), &said) // a spec of another form says nothing
+	_ = json.Unmarshal([]byte(j.Spec), &spec) // other specs have no effect
 	return pool.Behaviour{
 		Work: func(t graph.TaskID) time.Duration {
-			if said.RunMillis > 0 {
-				return time.Duration(said.RunMillis) * time.Millisecond
+			if spec.RunMillis > 0 {
+				return time.Duration(spec.RunMillis) * time.Millisecond
 			}
 			if e := j.Steps[t.Step].Estimate; e > 0 {
 				return e
 			}
-			return usualWork
+			return defaultWork
 		},
-		Fails: func(graph.TaskID, int) bool { return said.Fail },
+		Fails: func(graph.TaskID, int) bool { return spec.Fail },
 	}
 }
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -13,71 +13,72 @@
 	"guavaglade.example/guavaglade/internal/report/metrics"
 )
 
-// loopback is the IP of all hosts; ports are free ones.
+// loopback is the IP of all hosts; their ports are chosen by the system.
 const loopback = "127.0.0.1"
 
-// nowhere stands for the platform's address, which the ports know.
-const nowhere = loopback + ":1"
+// noPlatform is a placeholder for the platform's address, which only the hosts' ports
+// use.
+const noPlatform = loopback + ":1"
 
-// Ways gives a host its ways to the platform.
-type Ways func(host int, log logr.Logger) station.Ports
+// PortsFunc returns a host's connections to the platform.
+type PortsFunc func(host int, log logr.Logger) station.Ports
 
 // Zones are the availability zones of a site.
 var Zones = []string{"leon", "celaya", "irapuato"}
 
-// Site is hosts of the system.
+// Site is a set of hosts of the system.
 type Site struct {
-	ways    Ways
-	perZone int
-	more    []settings.Option
-	log     logr.Logger
-	hosts   []*Host
+	ports    PortsFunc
+	perZone  int
+	settings []settings.Option
+	log      logr.Logger
+	hosts    []*Host
 }
 
 // Host is one host of a site.
 type Host struct {
 	settings settings.Settings
 	stop     context.CancelFunc
-	over     chan struct{} // closed when it has ended
-	err      error         // valid then
+	done     chan struct{} // closed when the host has ended
+	err      error         // valid once done is closed
 }
 
-// Caller returns the IP:port for callers.
-func (h *Host) Caller() string { return h.settings.CallerAddress() }
+// CallerAddress returns the IP:port that serves callers.
+func (h *Host) CallerAddress() string { return h.settings.CallerAddress() }
 
-// Peer returns the IP:port for other hosts.
-func (h *Host) Peer() string { return h.settings.PeerAddress() }
+// PeerAddress returns the IP:port that serves other hosts.
+func (h *Host) PeerAddress() string { return h.settings.PeerAddress() }
 
-// Stop begins a planned stop.
+// Stop starts a planned stop. It does not wait for its end.
 func (h *Host) Stop() { h.stop() }
 
-// Ended waits until the host has ended, and returns why if that was not by a
+// Wait waits until the host has ended and returns the error that ended it, nil after a
 // planned stop.
-func (h *Host) Ended() error {
-	<-h.over
+func (h *Host) Wait() error {
+	<-h.done
 	return h.err
 }
 
 // Option sets one property of a new site.
 type Option func(*Site)
 
-// WithHosts sets the hosts of each zone, by default two.
+// WithHosts sets the number of hosts in each zone, by default two.
 func WithHosts(perZone int) Option { return func(s *Site) { s.perZone = perZone } }
 
-// WithSettings sets properties of all hosts' settings.
+// WithSettings adds options for the settings of all hosts.
 func WithSettings(opts ...settings.Option) Option {
-	return func(s *Site) { s.more = append(s.more, opts...) }
+	return func(s *Site) { s.settings = append(s.settings, opts...) }
 }
 
-// WithOperatorKey lets the key with the hash apply the first configuration.
+// WithOperatorKey sets the hash of the key that may apply the first configuration.
 func WithOperatorKey(hash string) Option { return WithSettings(settings.WithOperatorKey(hash)) }
 
-// WithLog sets the log of all hosts, by default none.
+// WithLog sets the logger of all hosts, by default none.
 func WithLog(l logr.Logger) Option { return func(s *Site) { s.log = l } }
 
-// Start starts a site. Stop must be called at its end.
-func Start(ways Ways, opts ...Option) (*Site, error) {
-	s := &Site{ways: ways, perZone: 2, log: logr.Discard()}
+// Start starts a site. The caller must call Stop.
+func Start(ports PortsFunc, opts ...Option) (*Site, error) {
+	s := &Site{ports: ports, perZone: 2, log: logr.Discard()}
 	for _, o := range opts {
 		o(s)
 	}
@@ -93,54 +94,54 @@
 
 func (s *Site) start(i int) (*Host, error) {
 	zone := Zones[i%len(Zones)]
-	of, err := settings.New(zone, loopback+":0", loopback+":0", nowhere, s.more...)
+	cfg, err := settings.New(zone, loopback+":0", loopback+":0", noPlatform, s.settings...)
 	if err != nil {
 		return nil, err
 	}
-	callers, peers, err := process.Listen(of)
+	callers, peers, err := process.Listen(cfg)
 	if err != nil {
 		return nil, err
 	}
-	of, err = settings.New(zone, callers.Addr().String(), peers.Addr().String(), nowhere, s.more...)
+	cfg, err = settings.New(zone, callers.Addr().String(), peers.Addr().String(), noPlatform, s.settings...)
 	if err != nil {
 		return nil, err
 	}
 	log := s.log.WithValues("host", i)
-	scope, shown, closer := metrics.New()
-	p, err := process.New(of, callers, peers, s.ways(i, log), scope, shown, log)
+	scope, handler, closer := metrics.New()
+	p, err := process.New(cfg, callers, peers, s.ports(i, log), scope, handler, log)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	h := &Host{settings: of, stop: stop, over: make(chan struct{})}
+	h := &Host{settings: cfg, stop: stop, done: make(chan struct{})}
 	go func() {
 		h.err = errors.Join(p.Run(ctx), closer.Close())
-		close(h.over)
+		close(h.done)
 	}()
 	return h, nil
 }
 
-// Hosts returns the hosts, the zones in turn.
+// Hosts returns the hosts. Host i is in zone i modulo the number of zones.
 func (s *Site) Hosts() []*Host { return s.hosts }
 
-// Callers returns the addresses for callers, beginning with one host's: a client
-// goes on to the next if that does not answer.
-func (s *Site) Callers(first int) []string {
+// CallerAddresses returns the addresses for callers of all hosts, beginning with the
+// given host's: a client tries the next if one cannot be reached.
+func (s *Site) CallerAddresses(first int) []string {
 	var list []string
 	for i := range s.hosts {
-		list = append(list, s.hosts[(first+i)%len(s.hosts)].Caller())
+		list = append(list, s.hosts[(first+i)%len(s.hosts)].CallerAddress())
 	}
 	return list
 }
 
-// Stop stops all hosts as planned.
+// Stop stops all hosts as planned and waits for their ends.
 func (s *Site) Stop() error {
 	for _, h := range s.hosts {
 		h.Stop()
 	}
 	var faults []error
 	for i, h := range s.hosts {
-		if err := h.Ended(); err != nil {
+		if err := h.Wait(); err != nil {
 			faults = append(faults, fmt.Errorf("host %d: %w", i, err))
 		}
 	}
--- a/internal/work/dispatch/health_test.go
+++ b/internal/work/dispatch/health_test.go
@@ -15,7 +15,7 @@
 func (d *simulation) setFailingTargets(on bool) {
 	for i, t := range d.m.sortedTargets {
 		if i%6 == 0 {
-			d.p.FailAll(t.ID, on)
+			d.p.SetFailing(t.ID, on)
 		}
 	}
 }
@@ -82,14 +82,14 @@
 	d.run(1500 * time.Millisecond)
 	bad := d.m.sortedTargets[0]
 	is.Equal(len(bad.runs), 4)
-	d.p.FailAll(bad.ID, true)
+	d.p.SetFailing(bad.ID, true)
 	d.submit(2, 5*time.Second, small(12)) // four fail there
 	d.run(1200 * time.Millisecond)        // the old runs end
 	is.Equal(d.p.StartsOn(bad.ID), 8)
 	d.submit(2, time.Second, small(8))
 	d.run(500 * time.Millisecond)
 	is.Equal(d.p.StartsOn(bad.ID), 8)
-	d.p.FailAll(bad.ID, false)
+	d.p.SetFailing(bad.ID, false)
 	d.run(20 * time.Second)
 	d.check()
 }
@@ -100,11 +100,11 @@
 	is := is.New(t)
 	d := newSimulation(t, 1, 1, DefaultBounds())
 	only := d.m.sortedTargets[0]
-	d.p.FailAll(only.ID, true)
+	d.p.SetFailing(only.ID, true)
 	d.submit(2, 2*time.Second, small(1))
 	d.run(200 * time.Millisecond)
 	is.True(only.health.Quarantined(d.now))
-	d.p.FailAll(only.ID, false)
+	d.p.SetFailing(only.ID, false)
 	d.submit(2, 2*time.Second, small(6))
 	d.run(4 * time.Second)
 	is.True(!only.health.Quarantined(d.now))
@@ -123,7 +123,7 @@
 	id := d.submit(2, 10*time.Millisecond, small(40))
 	d.m.jobs[id].spec.MaxAttempts = 9
 	for _, x := range d.m.sortedTargets {
-		d.p.FailAll(x.ID, true)
+		d.p.SetFailing(x.ID, true)
 	}
 	d.run(2 * time.Second)
 	quarantined := 0
@@ -149,7 +149,7 @@
 			bad = x
 		}
 	}
-	d.p.FailAll(bad.ID, true)
+	d.p.SetFailing(bad.ID, true)
 	id := d.submit(2, time.Second, small(1))
 	d.m.jobs[id].spec.MaxAttempts = 2
 	d.run(6 * time.Second)
@@ -201,7 +201,7 @@
 	d.run(5 * time.Second)
 	old := d.m.sortedTargets[0]
 	is.Equal(len(old.runs), 5)
-	d.p.FailAll(old.ID, true)
+	d.p.SetFailing(old.ID, true)
 	id := d.submit(2, time.Second, small(1))
 	d.m.jobs[id].spec.MaxAttempts = 2
 	d.run(100 * time.Millisecond)
--- a/internal/work/dispatch/orders_test.go
+++ b/internal/work/dispatch/orders_test.go
@@ -17,7 +17,7 @@
 	d := newSimulation(t, 1, 1, DefaultBounds())
 	id := d.submit(2, time.Minute, small(3))
 	d.run(time.Second)
-	is.Equal(d.p.BusyOf(id), 3)
+	is.Equal(d.p.RunningOf(id), 3)
 	d.dropCommand = func(c Command) bool {
 		_, stop := c.(Stop)
 		return stop
@@ -25,10 +25,10 @@
 	d.m.Cancel(id, d.now)
 	d.decide()
 	d.run(2 * time.Second)
-	is.Equal(d.p.BusyOf(id), 3)
+	is.Equal(d.p.RunningOf(id), 3)
 	d.dropCommand = nil
 	d.run(1500 * time.Millisecond)
-	is.Equal(d.p.BusyOf(id), 0)
+	is.Equal(d.p.RunningOf(id), 0)
 }
 
 // A target executes starts, but its answers and reports are lost. What was started there
--- a/internal/work/dispatch/simulation_test.go
+++ b/internal/work/dispatch/simulation_test.go
@@ -183,7 +183,7 @@
 
 // answerPoll answers a poll once there is an end to tell or its time is over.
 func (d *simulation) answerPoll(c Poll, until time.Time) {
-	rep, err := d.p.Hold(c.Target, c.Order, d.now)
+	rep, err := d.p.Poll(c.Target, c.Order, d.now)
 	if err == nil && len(rep.Ended) == 0 && d.now.Before(until) {
 		d.after(simulationStep, func() { d.answerPoll(c, until) })
 		return
--- a/internal/work/dispatch/straggler_test.go
+++ b/internal/work/dispatch/straggler_test.go
@@ -29,7 +29,7 @@
 	id := d.submit(2, 6*time.Second, s)
 	d.run(3 * time.Second)
 	bad := d.targetOfJob(string(id))
-	d.p.Hang(bad, true)
+	d.p.SetStalled(bad, true)
 	d.run(5 * time.Second)
 	is.True(d.targetOfJob(string(id)) != bad)
 	next := d.submit(2, time.Second, small(1))
@@ -47,7 +47,7 @@
 	id := d.submit(2, 6*time.Second, small(1))
 	d.run(3 * time.Second)
 	bad := d.targetOfJob(string(id))
-	d.p.Hang(bad, true)
+	d.p.SetStalled(bad, true)
 	d.run(5 * time.Second)
 	is.Equal(d.targetOfJob(string(id)), bad)
 	d.run(9 * time.Second)
@@ -65,7 +65,7 @@
 	s.Checkpointing = true
 	id := d.submit(2, 6*time.Second, s)
 	d.run(500 * time.Millisecond)
-	d.p.Slow(d.targetOfJob(string(id)), 0.1)
+	d.p.SetSpeed(d.targetOfJob(string(id)), 0.1)
 	d.run(25 * time.Second)
 	is.True(d.duration(id) > 0 && d.duration(id) < 20*time.Second)
 	d.check()
@@ -77,7 +77,7 @@
 	is := is.New(t)
 	d := newSimulation(t, 1, 3, DefaultBounds())
 	bad := d.m.sortedTargets[0].ID // gets the first tasks
-	d.p.FailAll(bad, true)
+	d.p.SetFailing(bad, true)
 	for range 12 {
 		d.submit(2, time.Second, small(1))
 	}
