--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -21,11 +21,11 @@
 	"guavaglade.example/guavaglade/internal/work/request"
 )
 
-// MaxBody bounds what is read of one answer, in bytes.
-const MaxBody = 64 << 20
+// MaxResponseBytes is the most that is read of a response.
+const MaxResponseBytes = 64 << 20
 
-// Client calls hosts with a key. A call goes to the first host that takes the
-// connection, as it would behind a balancer.
+// Client calls hosts with a key. A call goes to the first host that accepts the
+// connection, as it would behind a load balancer.
 type Client struct {
 	bases []string // http://IP:port
 	key   string
@@ -45,13 +45,13 @@
 	return &Client{bases: bases, key: key, http: &http.Client{Transport: rt}}
 }
 
-// Error is a problem that a host answered with.
+// Error is a problem document that a host responded with.
 type Error struct {
 	api.Problem
 	Peer string // the host's address
 }
 
-// Error returns the detail with the host and the faults, if any.
+// Error returns the detail, status and host, and the faults, one on each line.
 func (e *Error) Error() string {
 	s := fmt.Sprintf("%s (%d) from %s", e.Detail, e.Status, e.Peer)
 	for _, f := range e.Faults {
@@ -60,47 +60,47 @@
 	return s
 }
 
-// Submit asks for a job and waits up to wait for its end; 0 does not wait.
+// Submit submits a job and waits up to wait for its end; 0 does not wait.
 func (c *Client) Submit(ctx context.Context, r request.Request, wait time.Duration) (api.JobView, error) {
 	var v api.JobView
 	err := c.do(ctx, http.MethodPost, "/v1/jobs?wait="+wait.String(), r, &v)
 	return v, err
 }
 
-// Job returns where a job stands, waiting up to wait for its end.
+// Job returns the status of a job, waiting up to wait for its end.
 func (c *Client) Job(ctx context.Context, id string, wait time.Duration) (api.JobView, error) {
 	var v api.JobView
 	err := c.do(ctx, http.MethodGet, "/v1/jobs/"+url.PathEscape(id)+"?wait="+wait.String(), nil, &v)
 	return v, err
 }
 
-// Jobs returns the account's jobs, or all to an operator.
+// Jobs returns the account's jobs, or all jobs for an operator's key.
 func (c *Client) Jobs(ctx context.Context) ([]view.Job, error) {
 	var vs []view.Job
 	err := c.do(ctx, http.MethodGet, "/v1/jobs", nil, &vs)
 	return vs, err
 }
 
-// Explain returns a job with its story.
+// Explain returns a job with the history of decisions about it.
 func (c *Client) Explain(ctx context.Context, id string) (view.History, error) {
 	var s view.History
 	err := c.do(ctx, http.MethodGet, "/v1/jobs/"+url.PathEscape(id)+"/explain", nil, &s)
 	return s, err
 }
 
-// Cancel says that a job is no longer wanted.
+// Cancel cancels a job.
 func (c *Client) Cancel(ctx context.Context, id string) error {
 	return c.do(ctx, http.MethodDelete, "/v1/jobs/"+url.PathEscape(id), nil, &struct{}{})
 }
 
-// Configuration returns the text in force on the host.
+// Configuration returns the configuration text in force on the host that responds.
 func (c *Client) Configuration(ctx context.Context) (api.ConfigurationView, error) {
 	var v api.ConfigurationView
 	err := c.do(ctx, http.MethodGet, "/v1/configuration", nil, &v)
 	return v, err
 }
 
-// Apply makes a text current that was based on a version.
+// Apply makes a configuration text current that is based on a version.
 func (c *Client) Apply(ctx context.Context, base int64, change, text string) (api.ConfigurationView, error) {
 	body := struct {
 		Base   int64  `json:"base"`
@@ -112,13 +112,13 @@
 	return v, err
 }
 
-// changeTries bounds how often a change is made again that another one was faster than.
-const changeTries = 5
+// maxChangeAttempts bounds the attempts at a change that conflicts with other changes.
+const maxChangeAttempts = 5
 
-// SetEvacuated has the configuration text say that a zone is evacuated, or not any more.
-// It returns the version that says so; unchanged tells that the one in force did already.
+// SetEvacuated sets in the configuration text whether a zone is evacuated. It returns the
+// version that says so; unchanged reports that the version in force already did.
 func (c *Client) SetEvacuated(ctx context.Context, zone string, on bool) (v api.ConfigurationView, unchanged bool, err error) {
-	for range changeTries {
+	for range maxChangeAttempts {
 		if v, err = c.Configuration(ctx); err != nil {
 			return v, false, err
 		}
@@ -135,14 +135,14 @@
 	return v, false, err
 }
 
-// InForce returns what each host has in force.
+// InForce returns the configuration version in force on each host.
 func (c *Client) InForce(ctx context.Context) ([]view.InForce, error) {
 	var rows []view.InForce
 	err := c.do(ctx, http.MethodGet, "/v1/inforce", nil, &rows)
 	return rows, err
 }
 
-// Fleet returns what the leader holds of targets and accounts.
+// Fleet returns the leader's view of targets and accounts.
 func (c *Client) Fleet(ctx context.Context) (view.Fleet, error) {
 	var f view.Fleet
 	err := c.do(ctx, http.MethodGet, "/v1/fleet", nil, &f)
@@ -156,7 +156,7 @@
 	return r, err
 }
 
-func (c *Client) do(ctx context.Context, method, path string, body, into any) error {
+func (c *Client) do(ctx context.Context, method, path string, body, result any) error {
 	var value []byte
 	if body != nil {
 		var err error
@@ -164,20 +164,20 @@
 			return fmt.Errorf("%s %s: %w", method, path, err)
 		}
 	}
-	last := fmt.Errorf("%s %s: no host is named", method, path)
+	last := fmt.Errorf("%s %s: no host address given", method, path)
 	for _, base := range c.bases {
 		res, err := c.send(ctx, method, base+path, value)
 		if err != nil {
 			last = fmt.Errorf("%s %s: %w", method, path, err)
 			continue
 		}
-		return answer(res, base, into)
+		return decodeResponse(res, base, result)
 	}
 	return last
 }
 
-func (c *Client) send(ctx context.Context, method, target string, value []byte) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(value))
+func (c *Client) send(ctx context.Context, method, address string, value []byte) (*http.Response, error) {
+	req, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(value))
 	if err != nil {
 		return nil, err
 	}
@@ -185,9 +185,9 @@
 	return c.http.Do(req)
 }
 
-func answer(res *http.Response, base string, into any) error {
+func decodeResponse(res *http.Response, base string, result any) error {
 	defer func() { _ = res.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(res.Body, MaxBody))
+	body, err := io.ReadAll(io.LimitReader(res.Body, MaxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("read the answer of %s: %w", base, err)
 	}
@@ -198,7 +198,7 @@
 		}
 		return problem
 	}
-	if err := json.Unmarshal(body, into); err != nil {
+	if err := json.Unmarshal(body, result); err != nil {
 		return fmt.Errorf("read the answer of %s: %w", base, err)
 	}
 	return nil
--- a/internal/operator/client/doc.go
+++ b/internal/operator/client/doc.go
@@ -1,3 +1,2 @@
-// Package client calls the HTTP API of a host, for the command line and the
-// demo.
+// Package client calls the HTTP API of the hosts, for the command line and the demo.
 package client
