--- a/internal/operator/command/check.go
+++ b/internal/operator/command/check.go
@@ -18,31 +18,31 @@
 	} `positional-args:"yes"`
 }
 
-// Kinds of text that can be checked.
+// Kinds of files that can be checked.
 const (
 	kindSettings      = "settings"
 	kindConfiguration = "configuration"
 )
 
-// checked is what was found in one file.
-type checked struct {
-	File   string          `json:"file"`
-	Kind   string          `json:"kind"`
-	Faults document.Faults `json:"faults"` // empty: none, never nil
-	holds  string          // what a text without faults describes
+// checkResult is the result of checking one file.
+type checkResult struct {
+	File    string          `json:"file"`
+	Kind    string          `json:"kind"`
+	Faults  document.Faults `json:"faults"` // never nil, so that JSON has [] for none
+	summary string          // contents of a file without faults
 }
 
-// errFaults says that a text has faults.
-var errFaults = errors.New("the text has faults; mend each line")
+// errFaults is the error for a file with faults.
+var errFaults = errors.New("the text has faults; fix each line")
 
-// Execute checks configuration texts and settings, and prints every fault of each.
-// A text with a section [host] is taken for settings.
+// Execute checks configuration texts and settings and prints all faults of each. A file
+// with a section [host] is checked as settings.
 func (c *checkCommand) Execute([]string) error {
 	var failed []error
 	for _, file := range c.Args.Files {
 		found, err := checkFile(file)
 		if err == nil {
-			err = c.tell(found)
+			err = c.report(found)
 		}
 		if err != nil {
 			failed = append(failed, err)
@@ -51,28 +51,28 @@
 	return errors.Join(failed...)
 }
 
-func (c *checkCommand) tell(found checked) error {
+func (c *checkCommand) report(found checkResult) error {
 	if c.JSON {
 		if err := json.NewEncoder(c.out).Encode(found); err != nil {
 			return err
 		}
 	}
 	switch {
-	case len(found.Faults) > 0 && c.JSON: // told already
+	case len(found.Faults) > 0 && c.JSON: // printed above
 		return fmt.Errorf("%s: %w", found.File, errFaults)
 	case len(found.Faults) > 0:
 		return fmt.Errorf("%s: %w:\n%w", found.File, errFaults, found.Faults)
 	case c.JSON:
 		return nil
 	}
-	_, err := fmt.Fprintf(c.out, "%s: no faults, %s\n", found.File, found.holds)
+	_, err := fmt.Fprintf(c.out, "%s: no faults, %s\n", found.File, found.summary)
 	return err
 }
 
-func checkFile(file string) (checked, error) {
+func checkFile(file string) (checkResult, error) {
 	body, err := readFile(file)
 	if err != nil {
-		return checked{}, err
+		return checkResult{}, err
 	}
 	if settings.Are(body) {
 		return checkSettings(file, body)
@@ -80,30 +80,30 @@
 	return checkConfiguration(file, body)
 }
 
-func checkSettings(file string, body []byte) (checked, error) {
-	found := checked{File: file, Kind: kindSettings, Faults: document.Faults{}}
+func checkSettings(file string, body []byte) (checkResult, error) {
+	found := checkResult{File: file, Kind: kindSettings, Faults: document.Faults{}}
 	s, err := settings.Parse(file, body)
 	var faulty *settings.Error
 	switch {
 	case errors.As(err, &faulty):
 		found.Faults = faulty.Faults()
 	case err != nil:
-		return checked{}, err
+		return checkResult{}, err
 	}
-	found.holds = fmt.Sprintf("settings of a host in zone %s, at %s for callers", s.Zone(), s.CallerAddress())
+	found.summary = fmt.Sprintf("settings of a host in zone %s, at %s for callers", s.Zone(), s.CallerAddress())
 	return found, nil
 }
 
-func checkConfiguration(file string, body []byte) (checked, error) {
-	found := checked{File: file, Kind: kindConfiguration, Faults: document.Faults{}}
+func checkConfiguration(file string, body []byte) (checkResult, error) {
+	found := checkResult{File: file, Kind: kindConfiguration, Faults: document.Faults{}}
 	if faults := text.Check(body); len(faults) > 0 {
 		found.Faults = faults
 		return found, nil
 	}
 	config, err := text.Parse(body)
 	if err != nil {
-		return checked{}, fmt.Errorf("%s: %w", file, err)
+		return checkResult{}, fmt.Errorf("%s: %w", file, err)
 	}
-	found.holds = fmt.Sprintf("%d services, %d client accounts", len(config.Services()), len(config.Accounts()))
+	found.summary = fmt.Sprintf("%d services, %d client accounts", len(config.Services()), len(config.Accounts()))
 	return found, nil
 }
--- a/internal/operator/command/command_test.go
+++ b/internal/operator/command/command_test.go
@@ -35,20 +35,20 @@
 		{"unknown flag", []string{"show", "--hots", "x"}, command.Usage, "", "hots"},
 		{"missing argument", []string{"explain"}, command.Usage, "", "JOB"},
 		{"job without its service", []string{"submit", "labelCheck"}, command.Usage, "", "SERVICE.JOB"},
-		{"sound text", []string{"check", "../../../examples/spf.ini"}, command.Done, "no faults", ""},
-		{"broken text", []string{"check", broken}, command.Failed, "", "line 2"},
-		{"sound settings", []string{"check", "../../../examples/hosts/leon.ini"}, command.Done, "no faults, settings of a host in zone", ""},
-		{"broken settings", []string{"check", brokenHost}, command.Failed, "", "line 2"},
+		{"valid text", []string{"check", "../../../examples/spf.ini"}, command.Done, "no faults", ""},
+		{"faulty text", []string{"check", broken}, command.Failed, "", "line 2"},
+		{"valid settings", []string{"check", "../../../examples/hosts/leon.ini"}, command.Done, "no faults, settings of a host in zone", ""},
+		{"faulty settings", []string{"check", brokenHost}, command.Failed, "", "line 2"},
 		{"all faults of settings", []string{"check", brokenHost}, command.Failed, "", "line 3"},
-		{"one of two broken", []string{"check", broken, "../../../examples/spf.ini"}, command.Failed, "spf.ini: no faults", "line 2"},
+		{"one faulty text of two", []string{"check", broken, "../../../examples/spf.ini"}, command.Failed, "spf.ini: no faults", "line 2"},
 		{"faults as JSON", []string{"check", "--json", brokenHost}, command.Failed, `"kind":"settings","faults":[{`, "has faults"},
 		{"no such file", []string{"check", "nowhere.ini"}, command.Failed, "", "nowhere.ini"},
-		{"no host answers", []string{"show", "--host", "127.0.0.1:1", "--key", "k"}, command.Failed, "", "127.0.0.1:1"},
+		{"host not reachable", []string{"show", "--host", "127.0.0.1:1", "--key", "k"}, command.Failed, "", "127.0.0.1:1"},
 		{"no settings", []string{"serve", "--settings", "nowhere.ini"}, command.Failed, "", "nowhere.ini"},
 		{"settings in force", []string{"serve", "--settings", "../../../examples/hosts/leon.ini", "--print-settings"}, command.Done, "stopGrace = 20s", ""},
-		{"no zone named", []string{"evacuate", "--key", "k"}, command.Usage, "", "ZONE"},
-		{"no host to restore at", []string{"restore", "--host", "127.0.0.1:1", "--key", "k", "leon"}, command.Failed, "", "zone leon"},
-		{"no such authority", []string{"show", "--ca", "nowhere.pem"}, command.Failed, "", "nowhere.pem"},
+		{"missing zone", []string{"evacuate", "--key", "k"}, command.Usage, "", "ZONE"},
+		{"restore without reachable host", []string{"restore", "--host", "127.0.0.1:1", "--key", "k", "leon"}, command.Failed, "", "zone leon"},
+		{"no such certificate authority", []string{"show", "--ca", "nowhere.pem"}, command.Failed, "", "nowhere.pem"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -58,23 +58,23 @@
 			is.True(strings.Contains(out.String(), c.out))
 			is.True(strings.Contains(errs.String(), c.err))
 			if c.code != command.Done {
-				is.True(strings.HasPrefix(errs.String(), "guavaglade: ")) // says who speaks
+				is.True(strings.HasPrefix(errs.String(), "guavaglade: "))
 			}
 		})
 	}
 }
 
-// A newcomer reads the help of a command and copies its example. Each command that
-// tells of something tells it as JSON, too, for scripts.
-func TestEachCommandHelpsWithAnExample(t *testing.T) {
+// The help of each command has an example. Each command that prints results can print
+// them as JSON, for scripts.
+func TestHelpOfEachCommandHasExample(t *testing.T) {
 	is := is.New(t)
-	tells := map[string]bool{
+	hasJSON := map[string]bool{
 		"serve": false, "host": false, "standin": false, "demo": false, "check": true, "apply": true, "show": true,
 		"evacuate": true, "restore": true, "submit": true, "jobs": true, "explain": true, "cancel": true, "fleet": true, "report": true,
 	}
 	var all bytes.Buffer
 	is.Equal(command.Run([]string{"--help"}, &all, &bytes.Buffer{}), command.Done)
-	for name, json := range tells {
+	for name, json := range hasJSON {
 		var out bytes.Buffer
 		is.Equal(command.Run([]string{name, "--help"}, &out, &bytes.Buffer{}), command.Done)
 		is.True(strings.Contains(out.String(), "Example: guavaglade "+name))
@@ -82,5 +82,5 @@
 		is.True(strings.Contains(all.String(), "\n  "+name+" "))
 	}
 	_, listed, _ := strings.Cut(all.String(), "Available commands:")
-	is.Equal(strings.Count(strings.TrimSpace(listed), "\n")+1, len(tells)) // none is left out here
+	is.Equal(strings.Count(strings.TrimSpace(listed), "\n")+1, len(hasJSON)) // every command is in the table
 }
--- a/internal/operator/command/configuration.go
+++ b/internal/operator/command/configuration.go
@@ -9,15 +9,15 @@
 
 type applyCommand struct {
 	streams
-	target
-	Base   int64  `long:"base" default:"-1" description:"version the text is based on; without it the one in force on the host"`
-	Change string `long:"change" description:"change id; give the same again after an answer was lost"`
+	hostOptions
+	Base   int64  `long:"base" default:"-1" description:"version the text is based on; -1 stands for the version in force on the host"`
+	Change string `long:"change" description:"change id; repeat it to retry after a lost answer"`
 	Args   struct {
 		File string `positional-arg-name:"FILE" required:"yes"`
 	} `positional-args:"yes"`
 }
 
-// Execute makes a text current.
+// Execute makes a configuration text current.
 func (c *applyCommand) Execute([]string) error {
 	body, err := readFile(c.Args.File)
 	if err != nil {
@@ -50,11 +50,11 @@
 
 type showCommand struct {
 	streams
-	target
+	hostOptions
 	Text bool `long:"text" description:"print the configuration text in force"`
 }
 
-// Execute shows what is in force.
+// Execute prints the versions in force on all hosts, or the text in force on one.
 func (c *showCommand) Execute([]string) error {
 	ctx, cancel := c.context()
 	defer cancel()
--- a/internal/operator/command/demo.go
+++ b/internal/operator/command/demo.go
@@ -10,15 +10,14 @@
 	"guavaglade.example/guavaglade/internal/operator/demo"
 )
 
-// demoTime bounds the demo.
-const demoTime = 28 * time.Second
+const demoTimeout = 28 * time.Second
 
 func runDemo(s streams, verbose bool) error {
 	log := logr.Discard()
 	if verbose {
 		log = logr.FromSlogHandler(slog.NewTextHandler(s.err, nil))
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), demoTime)
+	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
 	return demo.Run(ctx, s.out, log)
 }
--- a/internal/operator/command/doc.go
+++ b/internal/operator/command/doc.go
@@ -1,5 +1,5 @@
-// Package command is the command line of guavaglade.
+// Package command implements the command line of guavaglade.
 //
-// Exit codes: 0 done, 1 refused or failed, 2 usage. Errors go to standard
-// error, one line that says what to do.
+// Exit codes: 0 done, 1 refused or failed, 2 usage error. Errors go to standard error,
+// prefixed with the program's name.
 package command
--- a/internal/operator/command/evacuation.go
+++ b/internal/operator/command/evacuation.go
@@ -6,22 +6,22 @@
 	"text/tabwriter"
 )
 
-// zoneArgs is the one argument of commands about a zone.
+// zoneArgs is the argument of commands about a zone.
 type zoneArgs struct {
 	Zone string `positional-arg-name:"ZONE" required:"yes"`
 }
 
 type evacuateCommand struct {
 	streams
-	target
-	Empty bool     `long:"empty" description:"evacuate a zone in which no target is listed, too"`
+	hostOptions
+	Empty bool     `long:"empty" description:"evacuate the zone even if no target is listed in it"`
 	Args  zoneArgs `positional-args:"yes"`
 }
 
-// Execute has a zone evacuated. A zone without targets is perhaps misspelt.
+// Execute evacuates a zone. It refuses a zone without targets, whose name may be misspelt.
 func (c *evacuateCommand) Execute([]string) error {
 	if !c.Empty {
-		if err := c.knows(c.Args.Zone); err != nil {
+		if err := c.checkZone(c.Args.Zone); err != nil {
 			return err
 		}
 	}
@@ -30,26 +30,26 @@
 
 type restoreCommand struct {
 	streams
-	target
+	hostOptions
 	Args zoneArgs `positional-args:"yes"`
 }
 
-// Execute takes the evacuation of a zone back.
+// Execute ends the evacuation of a zone.
 func (c *restoreCommand) Execute([]string) error {
 	return c.setEvacuated(c.streams, c.Args.Zone, false)
 }
 
-// knows returns an error if targets are listed and none of them is in the zone.
-func (t target) knows(zone string) error {
-	ctx, cancel := t.context()
+// checkZone returns an error if no target is listed in the zone.
+func (o hostOptions) checkZone(zone string) error {
+	ctx, cancel := o.context()
 	defer cancel()
-	k, err := t.client()
+	k, err := o.client()
 	if err != nil {
 		return err
 	}
 	f, err := k.Fleet(ctx)
 	if err != nil {
-		return fmt.Errorf("zone %s: ask which zones have targets: %w; --empty evacuates without asking", zone, err)
+		return fmt.Errorf("zone %s: list zones with targets: %w; --empty skips this check", zone, err)
 	}
 	var others []string
 	for _, z := range f.Zones {
@@ -58,13 +58,13 @@
 		}
 		others = append(others, z.Name)
 	}
-	return fmt.Errorf("zone %s: no target is listed there, but in %s; --empty evacuates it all the same", zone, strings.Join(others, ", "))
+	return fmt.Errorf("zone %s: no targets in this zone; zones with targets: %s; --empty evacuates it anyway", zone, strings.Join(others, ", "))
 }
 
-func (t target) setEvacuated(s streams, zone string, on bool) error {
-	ctx, cancel := t.context()
+func (o hostOptions) setEvacuated(s streams, zone string, on bool) error {
+	ctx, cancel := o.context()
 	defer cancel()
-	k, err := t.client()
+	k, err := o.client()
 	if err != nil {
 		return err
 	}
@@ -80,11 +80,11 @@
 	}{zone, on, v.Version, unchanged}
 	state := "is evacuated"
 	if !on {
-		state = "takes work"
+		state = "accepts work"
 	}
-	return t.print(s, done, func(w *tabwriter.Writer) {
+	return o.print(s, done, func(w *tabwriter.Writer) {
 		if unchanged {
-			_, _ = fmt.Fprintf(w, "zone %s %s already, by version %d\n", zone, state, v.Version)
+			_, _ = fmt.Fprintf(w, "zone %s already %s, by version %d\n", zone, state, v.Version)
 			return
 		}
 		_, _ = fmt.Fprintf(w, "version %d accepted: zone %s %s on each host that has it in force\n", v.Version, zone, state)
--- a/internal/operator/command/host.go
+++ b/internal/operator/command/host.go
@@ -12,10 +12,10 @@
 
 type hostCommand struct {
 	streams
-	LogLevel string `long:"log-level" default:"info" choice:"debug" choice:"info" choice:"warn" description:"least level that is logged"`
+	LogLevel string `long:"log-level" default:"info" choice:"debug" choice:"info" choice:"warn" description:"lowest level that is logged"`
 }
 
-// Execute runs a host on the users' platform until it is told to stop.
+// Execute runs a host on the users' platform until it is stopped.
 func (c *hostCommand) Execute([]string) error {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(c.LogLevel)); err != nil {
--- a/internal/operator/command/host_options.go
+++ b/internal/operator/command/host_options.go
@@ -17,48 +17,48 @@
 	"guavaglade.example/guavaglade/internal/operator/client"
 )
 
-// callTime bounds a call that does not wait for a job.
-const callTime = 15 * time.Second
+// callTimeout is the timeout of a call, besides the time to wait for a job.
+const callTimeout = 15 * time.Second
 
-// target is how a command reaches the hosts.
-type target struct {
-	Host []string `long:"host" default:"127.0.0.1:7301" description:"IP:port of a host; give several to try each in turn"`
+// hostOptions are the options of a command that calls hosts.
+type hostOptions struct {
+	Host []string `long:"host" default:"127.0.0.1:7301" description:"IP:port of a host; repeat the option to try several in turn"`
 	Key  string   `long:"key" env:"GUAVAGLADE_KEY" description:"key of a client account or operator"`
-	CA   string   `long:"ca" description:"PEM file of the authority that signed the hosts' certificate; the hosts are then called over TLS"`
+	CA   string   `long:"ca" description:"PEM file of the certificate authority of the hosts; calls then use TLS"`
 	JSON bool     `long:"json" description:"print JSON"`
 }
 
-// client returns a client of the hosts, over TLS if an authority is named.
-func (t target) client() (*client.Client, error) {
-	if t.CA == "" {
-		return client.New(t.Host, t.Key, nil), nil
+// client returns a client of the hosts, over TLS if a certificate authority is given.
+func (o hostOptions) client() (*client.Client, error) {
+	if o.CA == "" {
+		return client.New(o.Host, o.Key, nil), nil
 	}
-	pem, err := os.ReadFile(t.CA)
+	pem, err := os.ReadFile(o.CA)
 	if err != nil {
 		return nil, err
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("%s: no certificate in it", t.CA)
+		return nil, fmt.Errorf("%s: contains no certificate", o.CA)
 	}
-	hosts := make([]string, 0, len(t.Host))
-	for _, h := range t.Host {
+	hosts := make([]string, 0, len(o.Host))
+	for _, h := range o.Host {
 		if !strings.Contains(h, "://") {
 			h = "https://" + h
 		}
 		hosts = append(hosts, h)
 	}
 	rt := &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}
-	return client.New(hosts, t.Key, rt), nil
+	return client.New(hosts, o.Key, rt), nil
 }
 
-func (t target) context() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), callTime)
+func (o hostOptions) context() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.Background(), callTimeout)
 }
 
-// print writes a value as JSON, or as text by f.
-func (t target) print(s streams, v any, f func(w *tabwriter.Writer)) error {
-	if t.JSON {
+// print writes the value as JSON if that was requested, else as text with f.
+func (o hostOptions) print(s streams, v any, f func(w *tabwriter.Writer)) error {
+	if o.JSON {
 		e := json.NewEncoder(s.out)
 		e.SetIndent("", "  ")
 		return e.Encode(v)
@@ -68,6 +68,6 @@
 	return w.Flush()
 }
 
-func usage(format string, args ...any) error {
+func usageError(format string, args ...any) error {
 	return &flags.Error{Type: flags.ErrRequired, Message: fmt.Sprintf(format, args...)}
 }
--- a/internal/operator/command/jobs.go
+++ b/internal/operator/command/jobs.go
@@ -16,10 +16,10 @@
 
 type submitCommand struct {
 	streams
-	target
-	Request string        `long:"request" description:"request id; the same id is the same job, also after an answer was lost"`
+	hostOptions
+	Request string        `long:"request" description:"request id; repeating the id refers to the same job, also after a lost answer"`
 	Input   string        `long:"input" description:"file with the job's input, - for standard input"`
-	Wait    time.Duration `long:"wait" default:"0s" description:"how long to wait for the end"`
+	Wait    time.Duration `long:"wait" default:"0s" description:"how long to wait for the job's end"`
 	Args    struct {
 		Job string `positional-arg-name:"SERVICE.JOB" required:"yes"`
 	} `positional-args:"yes"`
@@ -29,7 +29,7 @@
 func (c *submitCommand) Execute([]string) error {
 	service, kind, ok := strings.Cut(c.Args.Job, ".")
 	if !ok {
-		return usage("%s: want SERVICE.JOB", c.Args.Job)
+		return usageError("%s: want SERVICE.JOB", c.Args.Job)
 	}
 	if c.Request == "" {
 		c.Request = uuid.NewString()
@@ -41,7 +41,7 @@
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), c.Wait+callTime)
+	ctx, cancel := context.WithTimeout(context.Background(), c.Wait+callTimeout)
 	defer cancel()
 	k, err := c.client()
 	if err != nil {
@@ -51,12 +51,12 @@
 	if err != nil {
 		return fmt.Errorf("request %s: %w", c.Request, err)
 	}
-	return c.view(c.streams, v)
+	return c.printJob(c.streams, v)
 }
 
-// view prints a job; one that ended otherwise than well is an error.
-func (t target) view(s streams, v api.JobView) error {
-	err := t.print(s, v, func(w *tabwriter.Writer) { _, _ = fmt.Fprintf(w, "%s\t%s\t%s\n", v.ID, v.Job, v.State) })
+// printJob prints a job. It returns an error for one that ended but did not complete.
+func (o hostOptions) printJob(s streams, v api.JobView) error {
+	err := o.print(s, v, func(w *tabwriter.Writer) { _, _ = fmt.Fprintf(w, "%s\t%s\t%s\n", v.ID, v.Job, v.State) })
 	if err == nil && v.State.Final() && v.State != progress.Completed {
 		return fmt.Errorf("job %s is %s", v.ID, v.State)
 	}
@@ -65,10 +65,10 @@
 
 type jobsCommand struct {
 	streams
-	target
+	hostOptions
 }
 
-// Execute lists the jobs of the account, or all to an operator.
+// Execute lists the jobs of the account, or all jobs for an operator.
 func (c *jobsCommand) Execute([]string) error {
 	ctx, cancel := c.context()
 	defer cancel()
@@ -89,18 +89,18 @@
 	})
 }
 
-// jobArgs is the one argument of commands about a job.
+// jobArgs is the argument of commands about a job.
 type jobArgs struct {
 	Job string `positional-arg-name:"JOB" required:"yes"`
 }
 
 type explainCommand struct {
 	streams
-	target
+	hostOptions
 	Args jobArgs `positional-args:"yes"`
 }
 
-// Execute tells a job's story.
+// Execute prints the history of a job.
 func (c *explainCommand) Execute([]string) error {
 	ctx, cancel := c.context()
 	defer cancel()
@@ -122,7 +122,7 @@
 
 type cancelCommand struct {
 	streams
-	target
+	hostOptions
 	Args jobArgs `positional-args:"yes"`
 }
 
--- a/internal/operator/command/reports.go
+++ b/internal/operator/command/reports.go
@@ -7,13 +7,13 @@
 	"text/tabwriter"
 )
 
-type fleetViewCommand struct {
+type fleetCommand struct {
 	streams
-	target
+	hostOptions
 }
 
-// Execute shows the leader's targets and what accounts are guaranteed.
-func (c *fleetViewCommand) Execute([]string) error {
+// Execute prints the zones, targets and accounts' guarantees as the leader knows them.
+func (c *fleetCommand) Execute([]string) error {
 	ctx, cancel := c.context()
 	defer cancel()
 	k, err := c.client()
@@ -28,7 +28,7 @@
 		_, _ = fmt.Fprintf(w, "leader %s\tterm %d\twaiting %d\n", f.Leader, f.Term, f.PendingSteps)
 		_, _ = fmt.Fprintf(w, "guaranteed %d accelerators\tusable %d\n", f.Guaranteed, f.Usable)
 		if f.Guaranteed > f.Usable {
-			_, _ = fmt.Fprintln(w, "the guarantees cannot all be met now")
+			_, _ = fmt.Fprintln(w, "the guarantees exceed the usable accelerators")
 		}
 		_, _ = fmt.Fprintln(w, "ZONE\tTARGETS\tFREE\tRUNS\tEVACUATED")
 		for _, z := range f.Zones {
@@ -47,7 +47,7 @@
 
 type reportCommand struct {
 	streams
-	target
+	hostOptions
 	SVG string `long:"svg" description:"write a plot of the burn rates to this file"`
 }
 
@@ -64,7 +64,7 @@
 		return err
 	}
 	if c.SVG != "" {
-		if err := writeTo(c.SVG, r.WriteSVG); err != nil {
+		if err := writeFile(c.SVG, r.WriteSVG); err != nil {
 			return err
 		}
 	}
@@ -74,7 +74,7 @@
 	return r.WriteText(c.out)
 }
 
-func writeTo(file string, write func(io.Writer) error) error {
+func writeFile(file string, write func(io.Writer) error) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return err
--- a/internal/operator/command/serve.go
+++ b/internal/operator/command/serve.go
@@ -22,10 +22,10 @@
 type serveCommand struct {
 	streams
 	Settings      string `long:"settings" required:"yes" description:"INI file with the host's settings"`
-	PrintSettings bool   `long:"print-settings" description:"print each setting in force with its default, and end"`
+	PrintSettings bool   `long:"print-settings" description:"print each setting in force with its default, and exit"`
 }
 
-// Execute runs the host until it is told to stop.
+// Execute runs the host until SIGTERM or SIGINT.
 func (c *serveCommand) Execute([]string) error {
 	s, err := settings.Load(c.Settings)
 	if err != nil {
@@ -43,27 +43,27 @@
 	level := &slog.LevelVar{}
 	level.Set(s.LogLevel())
 	log := logr.FromSlogHandler(slog.NewTextHandler(out, &slog.HandlerOptions{Level: level}))
-	scope, shown, closer := metrics.New()
+	scope, handler, closer := metrics.New()
 	defer func() { _ = closer.Close() }() // the process ends
-	p, err := process.New(s, callers, peers, platform.Ports(s.Platform(), log), scope, shown, log)
+	p, err := process.New(s, callers, peers, platform.Ports(s.Platform(), log), scope, handler, log)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := untilSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	go follow(ctx, c.Settings, hangup, log, func(s settings.Settings) {
+	go reloadOnSignal(ctx, c.Settings, hangup, log, func(s settings.Settings) {
 		level.Set(s.LogLevel())
 		p.Reload(s)
 	})
 	return p.Run(ctx)
 }
 
-// follow reads the settings again at each signal, until the context ends. A file
-// with faults changes nothing.
-func follow(ctx context.Context, file string, signal <-chan os.Signal, log logr.Logger, take func(settings.Settings)) {
+// reloadOnSignal loads and applies the settings at each signal until the context ends. A
+// file with faults is logged and ignored.
+func reloadOnSignal(ctx context.Context, file string, signal <-chan os.Signal, log logr.Logger, apply func(settings.Settings)) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -75,27 +75,27 @@
 			log.Error(err, "reload", "file", file, "outcome", "settings kept")
 			continue
 		}
-		take(s)
+		apply(s)
 	}
 }
 
-// untilSignal returns a context that ends with SIGTERM or SIGINT.
-func untilSignal() (context.Context, context.CancelFunc) {
+// signalContext returns a context that is cancelled by SIGTERM or SIGINT.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
 
 type standinCommand struct {
 	streams
-	Listen  string `long:"listen" default:"127.0.0.1:7000" description:"IP:port of the store; targets take free ports of the IP"`
-	Service string `long:"service" default:"refill" description:"service that the targets serve"`
-	Zones   string `long:"zones" default:"leon,celaya,irapuato" description:"availability zones, with commas between; racks are given to them in turn"`
-	Racks   int    `long:"racks" default:"6" description:"racks of all zones together"`
-	PerRack int    `long:"per-rack" default:"8" description:"targets to a rack, with 8 accelerators each"`
+	Listen  string `long:"listen" default:"127.0.0.1:7000" description:"IP:port of the store; targets listen on free ports of the same IP"`
+	Service string `long:"service" default:"refill" description:"service of the targets"`
+	Zones   string `long:"zones" default:"leon,celaya,irapuato" description:"comma-separated availability zones; racks are assigned to them in turn"`
+	Racks   int    `long:"racks" default:"6" description:"total number of racks"`
+	PerRack int    `long:"per-rack" default:"8" description:"targets per rack, with 8 accelerators each"`
 }
 
-// Execute serves a stand-in platform until it is told to stop.
+// Execute runs a stand-in platform until SIGTERM or SIGINT.
 func (c *standinCommand) Execute([]string) error {
-	ctx, cancel := untilSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
 	size := standin.Size{Racks: c.Racks, PerRack: c.PerRack, Zones: strings.Split(c.Zones, ",")}
 	site, err := standin.Open(ctx, c.Listen, c.Service, size)
