--- a/internal/operator/demo/demo.go
+++ b/internal/operator/demo/demo.go
@@ -27,113 +27,116 @@
 //go:embed demo.ini
 var configuration string
 
-// Keys of the demo. They open nothing but the demo.
+// Keys of the demo. They are valid in the demo only.
 const (
 	operatorKey = "demo-operator"
 	accountKey  = "demo-norte"
 	otherKey    = "demo-sur"
 )
 
-// What the demo's jobs do, as the stand-in targets read it.
+// Inputs of the demo's jobs, which the stand-in targets interpret.
 var (
-	quick = []byte(`{"runMillis": 200}`)
-	slow  = []byte(`{"runMillis": 3000}`)
+	quickInput = []byte(`{"runMillis": 200}`)
+	slowInput  = []byte(`{"runMillis": 3000}`)
 )
 
 const (
-	quickRun  = 200 * time.Millisecond
-	pollEvery = 20 * time.Millisecond
+	quickTime    = 200 * time.Millisecond
+	pollInterval = 20 * time.Millisecond
 )
 
-// errUnexpected says that a request of the demo came out otherwise than it must.
-var errUnexpected = errors.New("a request came out otherwise than it must")
+// errUnexpected is the error for a request whose outcome is not the expected one.
+var errUnexpected = errors.New("unexpected outcome")
 
-// row is a request of the demo and what became of it.
-type row struct {
-	part  string
-	view  api.JobView
-	err   error
-	want  progress.State
-	taken time.Duration
+// outcome is the result of a request of the demo, and the state that it should have.
+type outcome struct {
+	scenario string
+	view     api.JobView
+	err      error
+	want     progress.State
+	duration time.Duration
 }
 
-// Run runs the demo and prints what became of each request.
+// Run runs the demo and prints the outcome of each request.
 func Run(ctx context.Context, out io.Writer, log logr.Logger) error {
-	b, err := start(ctx, credential.NewKey(operatorKey).Hash(), log)
+	d, err := start(ctx, credential.NewKey(operatorKey).Hash(), log)
 	if err != nil {
 		return err
 	}
-	rows, err := play(ctx, b, out)
+	outcomes, err := runRequests(ctx, d, out)
 	if err == nil {
-		err = printRows(out, rows)
+		err = printOutcomes(out, outcomes)
 	}
 	if err == nil {
-		err = printBurn(ctx, b, out)
+		err = printBurn(ctx, d, out)
 	}
-	return errors.Join(err, b.close())
+	return errors.Join(err, d.close())
 }
 
 // printBurn prints the burn report of all hosts.
-func printBurn(ctx context.Context, b *deployment, out io.Writer) error {
-	r, err := client.New(b.hosts.CallerAddresses(0), operatorKey, nil).Burn(ctx)
+func printBurn(ctx context.Context, d *deployment, out io.Writer) error {
+	r, err := client.New(d.hosts.CallerAddresses(0), operatorKey, nil).Burn(ctx)
 	if err != nil {
 		return err
 	}
 	return r.WriteText(out)
 }
 
-func play(ctx context.Context, b *deployment, out io.Writer) ([]row, error) {
-	if err := apply(ctx, b, out); err != nil {
+func runRequests(ctx context.Context, d *deployment, out io.Writer) ([]outcome, error) {
+	if err := apply(ctx, d, out); err != nil {
 		return nil, err
 	}
-	var rows []row
-	rows = append(rows, many(ctx, b, 12, "small jobs", accountKey, "refill.label", quick, progress.Completed)...)
-	rows = append(rows,
-		one(ctx, b, 0, "gang of 16", accountKey, "refill.plan", "gang", quick, progress.Completed),
-		one(ctx, b, 1, "may run once only", accountKey, "refill.bill", "bill", quick, progress.Completed),
-		one(ctx, b, 2, "same request again", accountKey, "refill.bill", "bill", quick, progress.Completed),
-		one(ctx, b, 2, "can never run", accountKey, "refill.huge", "huge", quick, progress.NotRun),
+	var outcomes []outcome
+	outcomes = append(outcomes, submitToAll(ctx, d, 12, "small jobs", accountKey, "refill.label", quickInput, progress.Completed)...)
+	outcomes = append(outcomes,
+		submit(ctx, d, 0, "gang of 16", accountKey, "refill.plan", "gang", quickInput, progress.Completed),
+		submit(ctx, d, 1, "at most once", accountKey, "refill.bill", "bill", quickInput, progress.Completed),
+		submit(ctx, d, 2, "repeated request", accountKey, "refill.bill", "bill", quickInput, progress.Completed),
+		submit(ctx, d, 2, "too large to place", accountKey, "refill.huge", "huge", quickInput, progress.NotRun),
 	)
-	rows = append(rows, reclaim(ctx, b)...)
-	rows = append(rows, evacuation(ctx, b, out)...)
-	return append(rows, plannedStop(ctx, b)...), nil
+	outcomes = append(outcomes, reclaim(ctx, d)...)
+	outcomes = append(outcomes, evacuation(ctx, d, out)...)
+	return append(outcomes, plannedStop(ctx, d)...), nil
 }
 
-// reclaim fills all zones with borrowed work that can be stopped and then asks for
-// the room that another account is guaranteed.
-func reclaim(ctx context.Context, b *deployment) []row {
-	borrowers := targetsPerRack * len(site.Zones) // each fills a target
-	lent := make(chan []row)
-	go func() { lent <- sameHost(ctx, b, borrowers, 0, "borrows idle room", "refill.forecast", slow) }()
-	if !running(ctx, b, borrowers) {
-		return append(<-lent, row{part: "reclaim", err: errUnexpected, want: progress.Completed})
+// reclaim fills all zones with preemptible jobs on borrowed capacity and then submits a
+// job under another account's guarantee.
+func reclaim(ctx context.Context, d *deployment) []outcome {
+	borrowers := targetsPerRack * len(site.Zones) // each takes a whole target
+	borrowed := make(chan []outcome)
+	go func() {
+		borrowed <- submitToHost(ctx, d, borrowers, 0, "borrows idle capacity", "refill.forecast", slowInput)
+	}()
+	if !awaitRunning(ctx, d, borrowers) {
+		return append(<-borrowed, outcome{scenario: "reclaim", err: errUnexpected, want: progress.Completed})
 	}
-	urgent := one(ctx, b, 0, "takes its guarantee back", otherKey, "refill.urgent", "urgent", quick, progress.Completed)
-	return append(<-lent, urgent)
+	urgent := submit(ctx, d, 0, "reclaims its guarantee", otherKey, "refill.urgent", "urgent", quickInput, progress.Completed)
+	return append(<-borrowed, urgent)
 }
 
-// evacuation evacuates a zone, runs jobs that all start in the others, and restores it.
-func evacuation(ctx context.Context, b *deployment, out io.Writer) []row {
+// evacuation evacuates a zone, runs jobs, which must all start in other zones, and
+// restores the zone.
+func evacuation(ctx context.Context, d *deployment, out io.Writer) []outcome {
 	zone := site.Zones[0]
-	if err := evacuate(ctx, b, out, zone, true); err != nil {
-		return []row{{part: "evacuation", err: err, want: progress.Completed}}
+	if err := setEvacuated(ctx, d, out, zone, true); err != nil {
+		return []outcome{{scenario: "evacuation", err: err, want: progress.Completed}}
 	}
-	before := startsIn(b, zone)
-	rows := gather(2*targetsPerRack, func(i int) row {
-		return one(ctx, b, i, "while "+zone+" is evacuated", accountKey, "refill.label", fmt.Sprintf("evacuated-%d", i), quick, progress.Completed)
+	before := startsIn(d, zone)
+	outcomes := runConcurrently(2*targetsPerRack, func(i int) outcome {
+		return submit(ctx, d, i, "while "+zone+" is evacuated", accountKey, "refill.label", fmt.Sprintf("evacuated-%d", i), quickInput, progress.Completed)
 	})
-	if n := startsIn(b, zone) - before; n > 0 {
-		rows = append(rows, row{part: "evacuation", err: fmt.Errorf("%d starts in zone %s: %w", n, zone, errUnexpected), want: progress.Completed})
+	if n := startsIn(d, zone) - before; n > 0 {
+		outcomes = append(outcomes, outcome{scenario: "evacuation", err: fmt.Errorf("%d starts in zone %s: %w", n, zone, errUnexpected), want: progress.Completed})
 	}
-	if err := evacuate(ctx, b, out, zone, false); err != nil {
-		rows = append(rows, row{part: "restoration", err: err, want: progress.Completed})
+	if err := setEvacuated(ctx, d, out, zone, false); err != nil {
+		outcomes = append(outcomes, outcome{scenario: "restoration", err: err, want: progress.Completed})
 	}
-	return rows
+	return outcomes
 }
 
-// evacuate evacuates or restores a zone, and waits until the leader has that in force.
-func evacuate(ctx context.Context, b *deployment, out io.Writer, zone string, on bool) error {
-	c := client.New(b.hosts.CallerAddresses(0), operatorKey, nil)
+// setEvacuated evacuates or restores a zone and waits until the leader has that in force.
+func setEvacuated(ctx context.Context, d *deployment, out io.Writer, zone string, on bool) error {
+	c := client.New(d.hosts.CallerAddresses(0), operatorKey, nil)
 	v, _, err := c.SetEvacuated(ctx, zone, on)
 	if err != nil {
 		return err
@@ -147,16 +150,16 @@
 			return err
 		}
 		select {
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return fmt.Errorf("zone %s: wait for version %d in force: %w", zone, v.Version, ctx.Err())
 		}
 	}
 }
 
-// startsIn returns how many runs were started in a zone.
-func startsIn(b *deployment, zone string) (n int) {
-	b.platform.Shared.Do(func(p *pool.Pool, _ time.Time) {
+// startsIn returns the number of runs started in a zone.
+func startsIn(d *deployment, zone string) (n int) {
+	d.platform.Shared.Do(func(p *pool.Pool, _ time.Time) {
 		for _, t := range p.Roster() {
 			if t.Zone == zone {
 				n += p.StartsOn(t.ID)
@@ -166,9 +169,10 @@
 	return n
 }
 
-// running waits until so many jobs of the first host run.
-func running(ctx context.Context, b *deployment, want int) bool {
-	c := client.New(b.hosts.CallerAddresses(0), operatorKey, nil)
+// awaitRunning waits until the wanted number of jobs is running. It returns false if the
+// context ends first.
+func awaitRunning(ctx context.Context, d *deployment, want int) bool {
+	c := client.New(d.hosts.CallerAddresses(0), operatorKey, nil)
 	for ctx.Err() == nil {
 		n := 0
 		jobs, _ := c.Jobs(ctx)
@@ -180,30 +184,32 @@
 		if n >= want {
 			return true
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return false
 }
 
-// plannedStop stops the second host while callers wait at it.
-func plannedStop(ctx context.Context, b *deployment) []row {
+// plannedStop stops the second host while callers wait there for their jobs.
+func plannedStop(ctx context.Context, d *deployment) []outcome {
 	const callers = 8
-	done := make(chan []row)
-	go func() { done <- sameHost(ctx, b, callers, 1, "waits while its host stops", "refill.label", slow) }()
-	time.Sleep(quickRun)
-	b.hosts.Hosts()[1].Stop()
-	rows := <-done
-	if err := b.hosts.Hosts()[1].Wait(); err != nil {
-		rows = append(rows, row{part: "planned stop", err: err, want: progress.Completed})
+	done := make(chan []outcome)
+	go func() {
+		done <- submitToHost(ctx, d, callers, 1, "host stops while caller waits", "refill.label", slowInput)
+	}()
+	time.Sleep(quickTime)
+	d.hosts.Hosts()[1].Stop()
+	outcomes := <-done
+	if err := d.hosts.Hosts()[1].Wait(); err != nil {
+		outcomes = append(outcomes, outcome{scenario: "planned stop", err: err, want: progress.Completed})
 	}
-	return rows
+	return outcomes
 }
 
-// apply makes the text current and waits until all hosts have it in force.
-func apply(ctx context.Context, b *deployment, out io.Writer) error {
-	c := client.New(b.hosts.CallerAddresses(0), operatorKey, nil)
+// apply applies the configuration and waits until all hosts have it in force.
+func apply(ctx context.Context, d *deployment, out io.Writer) error {
+	c := client.New(d.hosts.CallerAddresses(0), operatorKey, nil)
 	if _, err := c.Apply(ctx, 0, "demo-1", configuration); err != nil {
-		return fmt.Errorf("apply the demo's text: %w", err)
+		return fmt.Errorf("apply the demo's configuration: %w", err)
 	}
 	begun := time.Now()
 	for {
@@ -211,7 +217,7 @@
 		if err != nil {
 			return err
 		}
-		if len(rows) == len(b.hosts.Hosts()) && everywhere(rows, 1) {
+		if len(rows) == len(d.hosts.Hosts()) && allInForce(rows, 1) {
 			_, err = fmt.Fprintf(out, "version 1 in force on %d hosts of %d zones after %s\n", len(rows), len(site.Zones), time.Since(begun).Round(time.Millisecond))
 			return err
 		}
@@ -223,7 +229,7 @@
 	}
 }
 
-func everywhere(rows []view.InForce, version int64) bool {
+func allInForce(rows []view.InForce, version int64) bool {
 	for _, r := range rows {
 		if r.Version != version {
 			return false
@@ -232,43 +238,44 @@
 	return true
 }
 
-func one(ctx context.Context, b *deployment, first int, part, key, kind, id string, input []byte, want progress.State) row {
+// submit submits a job to the hosts, beginning with the given one, and waits for its end.
+func submit(ctx context.Context, d *deployment, first int, scenario, key, kind, id string, input []byte, want progress.State) outcome {
 	begun := time.Now()
 	service, name, _ := strings.Cut(kind, ".")
 	r := request.Request{RequestID: id, Service: service, Job: name, Input: input}
-	v, err := client.New(b.hosts.CallerAddresses(first), key, nil).Submit(ctx, r, 20*time.Second)
-	return row{part: part, view: v, err: err, want: want, taken: time.Since(begun)}
+	v, err := client.New(d.hosts.CallerAddresses(first), key, nil).Submit(ctx, r, 20*time.Second)
+	return outcome{scenario: scenario, view: v, err: err, want: want, duration: time.Since(begun)}
 }
 
-// many submits jobs to all hosts in turn, at once.
-func many(ctx context.Context, b *deployment, n int, part, key, kind string, input []byte, want progress.State) []row {
-	return gather(n, func(i int) row {
-		return one(ctx, b, i, part, key, kind, fmt.Sprintf("%s-%d", kind, i), input, want)
+// submitToAll submits jobs concurrently, to the hosts in turn.
+func submitToAll(ctx context.Context, d *deployment, n int, scenario, key, kind string, input []byte, want progress.State) []outcome {
+	return runConcurrently(n, func(i int) outcome {
+		return submit(ctx, d, i, scenario, key, kind, fmt.Sprintf("%s-%d", kind, i), input, want)
 	})
 }
 
-// sameHost submits jobs to one host, at once.
-func sameHost(ctx context.Context, b *deployment, n, host int, part, kind string, input []byte) []row {
-	return gather(n, func(i int) row {
-		return one(ctx, b, host, part, accountKey, kind, fmt.Sprintf("%s-at%d-%d", kind, host, i), input, progress.Completed)
+// submitToHost submits jobs concurrently to one host.
+func submitToHost(ctx context.Context, d *deployment, n, host int, scenario, kind string, input []byte) []outcome {
+	return runConcurrently(n, func(i int) outcome {
+		return submit(ctx, d, host, scenario, accountKey, kind, fmt.Sprintf("%s-at%d-%d", kind, host, i), input, progress.Completed)
 	})
 }
 
-func gather(n int, f func(i int) row) []row {
-	rows := make([]row, n)
+func runConcurrently(n int, f func(i int) outcome) []outcome {
+	outcomes := make([]outcome, n)
 	var wg sync.WaitGroup
 	for i := range n {
-		wg.Go(func() { rows[i] = f(i) })
+		wg.Go(func() { outcomes[i] = f(i) })
 	}
 	wg.Wait()
-	return rows
+	return outcomes
 }
 
-func printRows(out io.Writer, rows []row) error {
+func printOutcomes(out io.Writer, outcomes []outcome) error {
 	w := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	_, _ = fmt.Fprintln(w, "PART\tJOB\tSTATE\tTIME\tREMARK")
+	_, _ = fmt.Fprintln(w, "SCENARIO\tJOB\tSTATE\tTIME\tREMARK")
 	bad := 0
-	for _, r := range rows {
+	for _, r := range outcomes {
 		reason := ""
 		if r.err != nil {
 			reason = r.err.Error()
@@ -277,13 +284,13 @@
 			bad++
 			reason = fmt.Sprintf("WANT %s: %s", r.want, reason)
 		}
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", r.part, r.view.ID, r.view.State, r.taken.Round(time.Millisecond), reason)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", r.scenario, r.view.ID, r.view.State, r.duration.Round(time.Millisecond), reason)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	if bad > 0 {
-		return fmt.Errorf("%d of %d: %w", bad, len(rows), errUnexpected)
+		return fmt.Errorf("%d of %d: %w", bad, len(outcomes), errUnexpected)
 	}
 	return nil
 }
--- a/internal/operator/demo/deployment.go
+++ b/internal/operator/demo/deployment.go
@@ -17,38 +17,38 @@
 	acceleratorsPerTarget = 8
 )
 
-// deployment is hosts on a stand-in platform.
+// deployment is a set of hosts and their stand-in platform.
 type deployment struct {
 	platform *standin.Site
 	hosts    *site.Site
-	end      context.CancelFunc
+	cancel   context.CancelFunc
 }
 
-// start starts a deployment. The key with the hash may apply the first
+// start starts a deployment. The key with the given hash may apply the first
 // configuration.
 func start(ctx context.Context, keyHash string, log logr.Logger) (*deployment, error) {
-	ctx, end := context.WithCancel(ctx)
+	ctx, cancel := context.WithCancel(ctx)
 	size := standin.Size{Racks: len(site.Zones), PerRack: targetsPerRack, Zones: site.Zones}
 	p, err := standin.Open(ctx, "127.0.0.1:0", "refill", size)
 	if err != nil {
-		end()
+		cancel()
 		return nil, err
 	}
 	p.LearnFromRows()
-	ways := func(_ int, log logr.Logger) station.Ports { return platform.Ports(p.Address(), log) }
-	hosts, err := site.Start(ways, site.WithOperatorKey(keyHash), site.WithLog(log))
+	ports := func(_ int, log logr.Logger) station.Ports { return platform.Ports(p.Address(), log) }
+	hosts, err := site.Start(ports, site.WithOperatorKey(keyHash), site.WithLog(log))
 	if err != nil {
 		p.Close()
-		end()
+		cancel()
 		return nil, err
 	}
-	return &deployment{platform: p, hosts: hosts, end: end}, nil
+	return &deployment{platform: p, hosts: hosts, cancel: cancel}, nil
 }
 
 // close stops all hosts as planned, then the platform.
 func (d *deployment) close() error {
 	err := d.hosts.Stop()
 	d.platform.Close()
-	d.end()
+	d.cancel()
 	return err
 }
--- a/internal/operator/demo/doc.go
+++ b/internal/operator/demo/doc.go
@@ -1,3 +1,3 @@
-// Package demo runs stand-ins, three zones and six hosts in one process, with
-// real TCP between them, and shows what the system does.
+// Package demo runs a stand-in platform and six hosts in three zones in one process, with
+// real TCP between them, and demonstrates the system's main features.
 package demo
