--- a/internal/host/api/api.go
+++ b/internal/host/api/api.go
@@ -14,22 +14,22 @@
 
 	"guavaglade.example/guavaglade/internal/config/text"
 	"guavaglade.example/guavaglade/internal/host/credential"
+	"guavaglade.example/guavaglade/internal/host/scheduler"
 	"guavaglade.example/guavaglade/internal/host/settings"
-	"guavaglade.example/guavaglade/internal/host/station"
 	"guavaglade.example/guavaglade/internal/report/metrics"
 )
 
 // API serves clients and operators of one host.
 type API struct {
-	station  *station.Station
-	settings atomic.Pointer[settings.Settings]
-	metrics  http.Handler // serves /metrics; nil for none
-	inForce  *parsed
+	scheduler *scheduler.Scheduler
+	settings  atomic.Pointer[settings.Settings]
+	metrics   http.Handler // serves /metrics; nil for none
+	inForce   *parsed
 }
 
-// New returns the API of a station. If shown is nil, /metrics is not there.
-func New(st *station.Station, s settings.Settings, shown http.Handler) *API {
-	a := &API{station: st, metrics: shown, inForce: &parsed{}}
+// New returns the API of a scheduler. If shown is nil, /metrics is not there.
+func New(st *scheduler.Scheduler, s settings.Settings, shown http.Handler) *API {
+	a := &API{scheduler: st, metrics: shown, inForce: &parsed{}}
 	a.settings.Store(&s)
 	return a
 }
@@ -53,7 +53,7 @@
 	if a.metrics != nil {
 		r.Handle("/metrics", a.metrics).Methods(http.MethodGet)
 	}
-	views := Views{a.station}
+	views := Views{a.scheduler}
 	v1 := r.PathPrefix("/v1").Subrouter()
 	v1.HandleFunc("/jobs", a.as(a.submit)).Methods(http.MethodPost)
 	v1.HandleFunc("/jobs", a.as(a.list)).Methods(http.MethodGet)
@@ -79,14 +79,14 @@
 // counted counts and times the requests of each route by status.
 func (a *API) counted(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if a.station.Stopping() {
+		if a.scheduler.Stopping() {
 			w.Header().Set("Connection", "close")
 		}
 		begun := time.Now()
 		seen := &statusWriter{ResponseWriter: w, status: http.StatusOK}
 		next.ServeHTTP(seen, r)
 		route, _ := mux.CurrentRoute(r).GetPathTemplate()
-		scope := a.station.Metrics().Tagged(map[string]string{"route": route, "method": r.Method})
+		scope := a.scheduler.Metrics().Tagged(map[string]string{"route": route, "method": r.Method})
 		scope.Histogram("request_seconds", metrics.Latencies).RecordDuration(time.Since(begun))
 		scope.Tagged(map[string]string{"status": strconv.Itoa(seen.status)}).Counter("requests_total").Inc(1)
 	})
@@ -131,7 +131,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		c, ok := a.callerOf(r)
 		if !ok {
-			a.station.Metrics().Counter("callers_refused").Inc(1)
+			a.scheduler.Metrics().Counter("callers_refused").Inc(1)
 			Problem{Status: http.StatusUnauthorized, Detail: "show a client account's key as a bearer token"}.write(w, time.Now())
 			return
 		}
@@ -158,8 +158,8 @@
 	if !ok {
 		return caller{}, false
 	}
-	a.station.AwaitCatalog(r.Context())
-	config := a.inForce.config(a.station.Catalog())
+	a.scheduler.AwaitCatalog(r.Context())
+	config := a.inForce.config(a.scheduler.Catalog())
 	c := caller{config: config}
 	account, found := key.Account(config)
 	if found {
@@ -181,7 +181,7 @@
 }
 
 func (a *API) ready(w http.ResponseWriter, _ *http.Request) {
-	if !a.station.Ready() {
+	if !a.scheduler.Ready() {
 		Problem{Status: http.StatusServiceUnavailable, Detail: "stopping, without a configuration, or nothing can be stored"}.write(w, time.Now())
 		return
 	}
@@ -202,7 +202,7 @@
 	if err == nil {
 		return true
 	}
-	a.station.Metrics().Counter("callers_bad_input").Inc(1)
+	a.scheduler.Metrics().Counter("callers_bad_input").Inc(1)
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		Problem{Status: http.StatusRequestEntityTooLarge, Detail: fmt.Sprintf("body: more than %d bytes", large.Limit)}.write(w, time.Now())
--- a/internal/host/api/configuration.go
+++ b/internal/host/api/configuration.go
@@ -56,7 +56,7 @@
 }
 
 func (a *API) getConfiguration(w http.ResponseWriter, _ *http.Request, _ caller) {
-	v := a.inForce.current(a.station.Catalog())
+	v := a.inForce.current(a.scheduler.Catalog())
 	reply(w, http.StatusOK, ConfigurationView{Version: v.Number, Change: v.Change, Text: v.Text})
 }
 
@@ -78,7 +78,7 @@
 		Problem{Status: http.StatusUnprocessableEntity, Detail: "the text has faults; nothing was changed", Faults: faults}.write(w, now)
 		return
 	}
-	v, err := version.Change(r.Context(), a.station.Store(), body.Base, body.Change, body.Text)
+	v, err := version.Change(r.Context(), a.scheduler.Store(), body.Base, body.Change, body.Text)
 	switch {
 	case errors.Is(err, version.ErrChangeIDReused):
 		Problem{Status: http.StatusUnprocessableEntity, Detail: err.Error()}.write(w, now)
@@ -100,9 +100,9 @@
 	if err != nil {
 		return strings.Split(err.Error(), "\n")
 	}
-	f, err := a.station.Views().Fleet(r.Context())
+	f, err := a.scheduler.Views().Fleet(r.Context())
 	if err != nil {
-		a.station.Log().Info("guarantees not checked", "step", "targets", "error", err.Error())
+		a.scheduler.Log().Info("guarantees not checked", "step", "targets", "error", err.Error())
 		return nil
 	}
 	var faults []string
--- a/internal/host/api/jobs.go
+++ b/internal/host/api/jobs.go
@@ -60,7 +60,7 @@
 	}
 	j, err := body.Resolve(c.config, c.account.Name(), now)
 	if err == nil {
-		err = a.station.Entry().Submit(r.Context(), j)
+		err = a.scheduler.Entry().Submit(r.Context(), j)
 	}
 	if err != nil {
 		refused(w, err)
@@ -94,7 +94,7 @@
 // await returns what is told of a job, once it has ended or the time is over.
 func (a *API) await(ctx context.Context, id graph.JobID, by entry.Caller, until time.Time) (view.JobStatus, error) {
 	for look := firstLook; ; look = min(2*look, lastLook) {
-		told, err := a.station.Entry().State(ctx, id, by)
+		told, err := a.scheduler.Entry().State(ctx, id, by)
 		left := time.Until(until)
 		if errors.Is(err, entry.ErrNoJob) || err == nil && told.State.Final() || left <= 0 {
 			return told, err
@@ -164,12 +164,12 @@
 }
 
 func (a *API) explain(w http.ResponseWriter, r *http.Request, c caller) {
-	Views{a.station}.story(w, r, c.entry())
+	Views{a.scheduler}.story(w, r, c.entry())
 }
 
 func (a *API) cancel(w http.ResponseWriter, r *http.Request, c caller) {
 	id := jobOf(r)
-	if err := a.station.Entry().Cancel(r.Context(), id, c.entry()); err != nil {
+	if err := a.scheduler.Entry().Cancel(r.Context(), id, c.entry()); err != nil {
 		notTold(w, id, err)
 		return
 	}
@@ -179,13 +179,13 @@
 }
 
 func (a *API) list(w http.ResponseWriter, r *http.Request, c caller) {
-	Views{a.station}.jobs(w, r, c.mayRead())
+	Views{a.scheduler}.jobs(w, r, c.mayRead())
 }
 
 // guarantees answers with what accounts are guaranteed and want now: an account's
 // own, or all to an operator.
 func (a *API) guarantees(w http.ResponseWriter, r *http.Request, c caller) {
-	f, err := a.station.Views().Fleet(r.Context())
+	f, err := a.scheduler.Views().Fleet(r.Context())
 	if err != nil {
 		unavailable(w, err)
 		return
--- a/internal/host/api/operator_test.go
+++ b/internal/host/api/operator_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 
 	"guavaglade.example/guavaglade/internal/host/credential"
+	"guavaglade.example/guavaglade/internal/host/scheduler"
 	"guavaglade.example/guavaglade/internal/host/settings"
-	"guavaglade.example/guavaglade/internal/host/station"
 	"guavaglade.example/guavaglade/internal/operator/client"
 	"guavaglade.example/guavaglade/internal/standin/pool"
 	"guavaglade.example/guavaglade/internal/standin/rows"
@@ -30,9 +30,9 @@
 	defer cancel()
 	table := rows.New(time.Millisecond)
 	shared := pool.Share(ctx, pool.New(pool.DefaultBounds()))
-	s, err := site.Start(func(host int, _ logr.Logger) station.Ports {
+	s, err := site.Start(func(host int, _ logr.Logger) scheduler.Ports {
 		rnd := rand.New(rand.NewPCG(uint64(host), 1))
-		return station.Ports{Store: rows.NewLink(table, rnd), Line: pool.NewLine(shared, 0, rnd), Roster: shared}
+		return scheduler.Ports{Store: rows.NewLink(table, rnd), Line: pool.NewLine(shared, 0, rnd), Roster: shared}
 	}, site.WithHosts(1), site.WithOperatorKey(credential.NewKey("first").Hash()), site.WithSettings(settings.WithUnreadyTime(time.Millisecond)))
 	is.NoErr(err)
 	defer func() { is.NoErr(s.Stop()) }()
--- a/internal/host/api/views.go
+++ b/internal/host/api/views.go
@@ -7,18 +7,18 @@
 	"github.com/gorilla/mux"
 
 	"guavaglade.example/guavaglade/internal/host/entry"
-	"guavaglade.example/guavaglade/internal/host/station"
+	"guavaglade.example/guavaglade/internal/host/scheduler"
 	"guavaglade.example/guavaglade/internal/report/view"
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
 // Views is what operators read of a deployment, from any of its hosts.
 type Views struct {
-	station *station.Station
+	scheduler *scheduler.Scheduler
 }
 
-// NewViews returns the views of a station.
-func NewViews(s *station.Station) Views { return Views{s} }
+// NewViews returns the views of a scheduler.
+func NewViews(s *scheduler.Scheduler) Views { return Views{s} }
 
 // Handler returns the views without a question for a key: they are to be served at
 // an address that only operators reach. The paths are those of the API.
@@ -37,7 +37,7 @@
 }
 
 func (v Views) jobs(w http.ResponseWriter, r *http.Request, account string) {
-	list, err := v.station.Views().Jobs(r.Context(), account)
+	list, err := v.scheduler.Views().Jobs(r.Context(), account)
 	if err != nil {
 		unavailable(w, err)
 		return
@@ -48,7 +48,7 @@
 // story answers with a job and what the leader decided about it in its term.
 func (v Views) story(w http.ResponseWriter, r *http.Request, by entry.Caller) {
 	id := jobOf(r)
-	s, known, err := v.station.Views().History(r.Context(), id)
+	s, known, err := v.scheduler.Views().History(r.Context(), id)
 	switch {
 	case err != nil:
 		unavailable(w, err)
@@ -65,7 +65,7 @@
 // a moment ago is stored before the leader hears of it: it has no story yet, and is
 // not to be denied.
 func (v Views) storedStory(w http.ResponseWriter, r *http.Request, id graph.JobID, by entry.Caller) {
-	told, err := v.station.Entry().State(r.Context(), id, by)
+	told, err := v.scheduler.Entry().State(r.Context(), id, by)
 	if err != nil {
 		notTold(w, id, err)
 		return
@@ -75,7 +75,7 @@
 }
 
 func (v Views) inForce(w http.ResponseWriter, r *http.Request) {
-	list, err := v.station.Views().InForce(r.Context())
+	list, err := v.scheduler.Views().InForce(r.Context())
 	if err != nil {
 		unavailable(w, err)
 		return
@@ -84,7 +84,7 @@
 }
 
 func (v Views) fleet(w http.ResponseWriter, r *http.Request) {
-	f, err := v.station.Views().Fleet(r.Context())
+	f, err := v.scheduler.Views().Fleet(r.Context())
 	if err != nil {
 		unavailable(w, err)
 		return
@@ -94,7 +94,7 @@
 
 // burn answers with the burn report as text, SVG or, by default, JSON.
 func (v Views) burn(w http.ResponseWriter, r *http.Request) {
-	report, err := v.station.Burn(r.Context())
+	report, err := v.scheduler.Burn(r.Context())
 	if err != nil {
 		unavailable(w, err)
 		return
--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -16,8 +16,8 @@
 	"guavaglade.example/guavaglade/internal/fleet/limiter"
 	"guavaglade.example/guavaglade/internal/fleet/order"
 	"guavaglade.example/guavaglade/internal/fleet/roster"
+	"guavaglade.example/guavaglade/internal/host/boottime"
 	"guavaglade.example/guavaglade/internal/host/leader"
-	"guavaglade.example/guavaglade/internal/host/steady"
 	"guavaglade.example/guavaglade/internal/platform/store"
 	"guavaglade.example/guavaglade/internal/work/dispatch"
 )
@@ -52,7 +52,7 @@
 	transport  order.Transport
 	roster     Roster
 	bounds     dispatch.Bounds
-	clock      steady.Clock
+	clock      boottime.Clock
 	adviser    order.Adviser // nil: none
 	metrics    tally.Scope
 	keeper     *catalog.Keeper // nil: no configuration
@@ -71,7 +71,7 @@
 
 // WithClock sets the clock by which leases are measured, by default the
 // system's.
-func WithClock(c steady.Clock) Option { return func(d *Dispatcher) { d.clock = c } }
+func WithClock(c boottime.Clock) Option { return func(d *Dispatcher) { d.clock = c } }
 
 // WithMetrics sets the scope of the leader's metrics, by default none.
 func WithMetrics(s tally.Scope) Option { return func(d *Dispatcher) { d.metrics = s } }
@@ -103,7 +103,7 @@
 // New returns a dispatcher that does not lead yet.
 func New(s store.Store, t order.Transport, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
 	b.Parts, b.MaxListAge = Partitions, max(b.DrainTime-startMargin, 3*b.DrainTime/4)
-	d := &Dispatcher{store: s, transport: t, roster: r, bounds: b, clock: steady.Now, metrics: tally.NoopScope, onJobEnded: func(dispatch.JobEnded) {}, recovered: func() <-chan struct{} { return nil }, log: log}
+	d := &Dispatcher{store: s, transport: t, roster: r, bounds: b, clock: boottime.Now, metrics: tally.NoopScope, onJobEnded: func(dispatch.JobEnded) {}, recovered: func() <-chan struct{} { return nil }, log: log}
 	for _, o := range opts {
 		o(d)
 	}
--- a/internal/host/leader/election.go
+++ b/internal/host/leader/election.go
@@ -8,7 +8,7 @@
 
 	"github.com/go-logr/logr"
 
-	"guavaglade.example/guavaglade/internal/host/steady"
+	"guavaglade.example/guavaglade/internal/host/boottime"
 	"guavaglade.example/guavaglade/internal/platform/store"
 )
 
@@ -40,7 +40,7 @@
 	peers       Peers
 	lead        Lead
 	own         Row // term 0, with the holder and address of this host
-	clock       steady.Clock
+	clock       boottime.Clock
 	randN       func(n int64) int64 // a random number in [0, n)
 	cores       float64             // of this host
 	log         logr.Logger
@@ -60,7 +60,7 @@
 
 // WithClock sets the clock that measures leases. The default is the system's boot-time
 // clock.
-func WithClock(c steady.Clock) Option { return func(e *Election) { e.clock = c } }
+func WithClock(c boottime.Clock) Option { return func(e *Election) { e.clock = c } }
 
 // WithRandom sets the source of random numbers in [0, n). The default is that of
 // math/rand.
@@ -73,7 +73,7 @@
 // New returns an election for the host with the given holder name and address for
 // peers.
 func New(s store.Store, p Peers, lead Lead, holder, address string, log logr.Logger, opts ...Option) *Election {
-	e := &Election{store: s, peers: p, lead: lead, own: Row{Holder: holder, Address: address}, clock: steady.Now, randN: rand.Int64N, log: log, transfers: make(chan transfer)}
+	e := &Election{store: s, peers: p, lead: lead, own: Row{Holder: holder, Address: address}, clock: boottime.Now, randN: rand.Int64N, log: log, transfers: make(chan transfer)}
 	for _, o := range opts {
 		o(e)
 	}
--- a/internal/host/process/process.go
+++ b/internal/host/process/process.go
@@ -17,21 +17,21 @@
 	"guavaglade.example/guavaglade/internal/config/version"
 	"guavaglade.example/guavaglade/internal/host/api"
 	"guavaglade.example/guavaglade/internal/host/credential"
+	"guavaglade.example/guavaglade/internal/host/scheduler"
 	"guavaglade.example/guavaglade/internal/host/settings"
-	"guavaglade.example/guavaglade/internal/host/station"
 )
 
 // Process is one host that serves the product's own interface.
 type Process struct {
-	station *station.Station
-	api     *api.API
-	now     settings.Settings // in force
-	callers net.Listener
-	peers   net.Listener
-	http    *http.Server
-	expires map[string]func() time.Time // of the certificates in use, by whom they are shown to
-	metrics tally.Scope
-	log     logr.Logger
+	scheduler *scheduler.Scheduler
+	api       *api.API
+	now       settings.Settings // in force
+	callers   net.Listener
+	peers     net.Listener
+	http      *http.Server
+	expires   map[string]func() time.Time // of the certificates in use, by whom they are shown to
+	metrics   tally.Scope
+	log       logr.Logger
 }
 
 // Listen takes the addresses that the settings name.
@@ -50,24 +50,24 @@
 
 // New returns a process on listeners that are open already. The ports lead to the
 // platform; shown serves the metrics, nil for none.
-func New(s settings.Settings, callers, peers net.Listener, ports station.Ports, scope tally.Scope, shown http.Handler, log logr.Logger) (*Process, error) {
+func New(s settings.Settings, callers, peers net.Listener, ports scheduler.Ports, scope tally.Scope, shown http.Handler, log logr.Logger) (*Process, error) {
 	p := &Process{
 		now: s, callers: netutil.LimitListener(callers, s.MaxConnections()), peers: peers,
 		expires: map[string]func() time.Time{}, metrics: scope, log: log,
 	}
-	opts := []station.Option{
-		station.WithMetrics(scope), station.WithGrace(s.UnreadyTime() + s.StopGrace()), station.WithUnreadyTime(s.UnreadyTime()),
+	opts := []scheduler.Option{
+		scheduler.WithMetrics(scope), scheduler.WithGrace(s.UnreadyTime() + s.StopGrace()), scheduler.WithUnreadyTime(s.UnreadyTime()),
 	}
 	secured, err := p.secure(s.TLS())
 	if err != nil {
 		return nil, err
 	}
 	opts = append(opts, secured...)
-	id := station.Identity{
+	id := scheduler.Identity{
 		Name: s.PeerAddress(), Zone: s.Zone(), Peers: s.PeerAddress(), Power: float64(runtime.GOMAXPROCS(0)),
 	}
-	p.station = station.New(id, ports, station.Configuration{Key: version.Key, Decode: version.DecodeCatalog}, log, opts...)
-	p.api = api.New(p.station, s, shown)
+	p.scheduler = scheduler.New(id, ports, scheduler.Configuration{Key: version.Key, Decode: version.DecodeCatalog}, log, opts...)
+	p.api = api.New(p.scheduler, s, shown)
 	p.http = &http.Server{
 		Handler: p.api.Handler(), MaxHeaderBytes: s.MaxHeader(),
 		ReadTimeout: s.RequestTimeout(), ReadHeaderTimeout: s.RequestTimeout(), WriteTimeout: s.MaxWait() + s.RequestTimeout(),
@@ -77,7 +77,7 @@
 
 // secure puts TLS on the listeners, and returns how peers are reached over it, as
 // far as files are named for it.
-func (p *Process) secure(files settings.TLS) ([]station.Option, error) {
+func (p *Process) secure(files settings.TLS) ([]scheduler.Option, error) {
 	report := func(err error) { p.log.Error(err, "tls", "step", "read") }
 	if files.CallerCert != "" {
 		c, err := credential.NewCertificate(files.CallerCert, files.CallerKey, report)
@@ -96,7 +96,7 @@
 	}
 	p.peers = tls.NewListener(p.peers, m.Server())
 	p.expires["peers"] = m.Expires
-	return []station.Option{station.WithPeerTLS(m.Client)}, nil
+	return []scheduler.Option{scheduler.WithPeerTLS(m.Client)}, nil
 }
 
 // expiryEvery is the time between two looks at when certificates expire: they are
@@ -145,7 +145,7 @@
 		}
 		cancel(err)
 	}()
-	return p.station.Run(ctx, p.peers, p.drain)
+	return p.scheduler.Run(ctx, p.peers, p.drain)
 }
 
 // drain finishes what callers wait for.
--- a/internal/host/process/process_test.go
+++ b/internal/host/process/process_test.go
@@ -26,8 +26,8 @@
 
 	"guavaglade.example/guavaglade/internal/host/credential"
 	"guavaglade.example/guavaglade/internal/host/process"
+	"guavaglade.example/guavaglade/internal/host/scheduler"
 	"guavaglade.example/guavaglade/internal/host/settings"
-	"guavaglade.example/guavaglade/internal/host/station"
 	"guavaglade.example/guavaglade/internal/standin/pool"
 	"guavaglade.example/guavaglade/internal/standin/rows"
 )
@@ -74,7 +74,7 @@
 	r.stop = cancel
 	rnd := rand.New(rand.NewPCG(1, 1))
 	shared := pool.Share(ctx, pool.New(pool.DefaultBounds()))
-	ports := station.Ports{Store: rows.NewLink(rows.New(0), rnd), Line: pool.NewLine(shared, 0, rnd), Roster: shared}
+	ports := scheduler.Ports{Store: rows.NewLink(rows.New(0), rnd), Line: pool.NewLine(shared, 0, rnd), Roster: shared}
 	var err error
 	r.Process, err = process.New(with(t, r.callers, r.peers, more), r.callers, r.peers, ports, scope, nil, logr.Discard())
 	is.NoErr(err)
--- a/internal/host/station/config.go
+++ b/internal/host/scheduler/config.go
@@ -1,4 +1,4 @@
-package station
+package scheduler
 
 import (
 	"context"
@@ -22,7 +22,7 @@
 
 // followConfig keeps the configuration up to date from the store. Where the store
 // does not serve this host, it comes from peers.
-func (s *Station) followConfig(ctx context.Context) {
+func (s *Scheduler) followConfig(ctx context.Context) {
 	version := int64(-1) // of the store; below 0: read the row
 	patience := readTime
 	for ctx.Err() == nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-func (s *Station) readConfig(ctx context.Context, patience time.Duration) (int64, error) {
+func (s *Scheduler) readConfig(ctx context.Context, patience time.Duration) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	k := s.config.Key
@@ -79,7 +79,7 @@
 	return page.Version, nil
 }
 
-func (s *Station) awaitConfig(ctx context.Context, after int64) (int64, error) {
+func (s *Scheduler) awaitConfig(ctx context.Context, after int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, feedWait+feedExtra)
 	defer cancel()
 	asked := s.currency.clock()
@@ -103,26 +103,26 @@
 }
 
 // evacuatedBy returns the zone that a row evacuates, if it is such a row.
-func (s *Station) evacuatedBy(k store.Key) (zone string, ok bool) {
+func (s *Scheduler) evacuatedBy(k store.Key) (zone string, ok bool) {
 	if s.config.Evacuated == nil {
 		return "", false
 	}
 	return s.config.Evacuated(k)
 }
 
-func (s *Station) tellZones() {
+func (s *Scheduler) tellZones() {
 	s.log.Info("evacuations in force", "host", s.identity.Name, "zones", s.Evacuations().Zones)
 }
 
 // Evacuations returns the zones that operators evacuate, by the configuration or by
 // rows of their own.
-func (s *Station) Evacuations() evacuation.Status {
+func (s *Scheduler) Evacuations() evacuation.Status {
 	return s.zones.Current().With(s.keeper.Current().Evacuated()...)
 }
 
 // offer takes a stored configuration; one that cannot be read is passed over, and
 // the one in force stays.
-func (s *Station) offer(r store.Row) {
+func (s *Scheduler) offer(r store.Row) {
 	ok, err := s.keeper.Offer(r.Value)
 	if err != nil {
 		s.log.Info("configuration ignored", "row", r.Version, "error", err.Error())
--- a/internal/host/station/currency.go
+++ b/internal/host/scheduler/currency.go
@@ -1,11 +1,11 @@
-package station
+package scheduler
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"guavaglade.example/guavaglade/internal/host/steady"
+	"guavaglade.example/guavaglade/internal/host/boottime"
 )
 
 // Figures of a configuration whose age is not known.
@@ -26,13 +26,13 @@
 // configuration were served by the old one, with keys and queues that are gone, and
 // others already by the new one.
 type currency struct {
-	clock steady.Clock
+	clock boottime.Clock
 	mu    sync.Mutex
 	at    time.Time     // when the store answered last
 	again chan struct{} // closed when it answers next
 }
 
-func newCurrency(c steady.Clock) *currency {
+func newCurrency(c boottime.Clock) *currency {
 	return &currency{clock: c, at: c(), again: make(chan struct{})}
 }
 
--- a/internal/host/station/currency_test.go
+++ b/internal/host/scheduler/currency_test.go
@@ -1,4 +1,4 @@
-package station
+package scheduler
 
 import (
 	"context"
--- a/internal/host/station/evacuation_test.go
+++ b/internal/host/scheduler/evacuation_test.go
@@ -1,4 +1,4 @@
-package station_test
+package scheduler_test
 
 import (
 	"slices"
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"guavaglade.example/guavaglade/internal/host/steady"
+	"guavaglade.example/guavaglade/internal/host/boottime"
 	"guavaglade.example/guavaglade/internal/platform/store"
 )
 
@@ -56,7 +56,7 @@
 	r.until(t, "a first reading", func() bool { return !r.Evacuations().AsOf.IsZero() })
 	r.refuse(true)
 	r.until(t, "the store lost", func() bool { return r.logged("store lost") })
-	turnedAway := steady.Now()
+	turnedAway := boottime.Now()
 	r.table.Put(evacuationKey("leon"), []byte("{}"))
 	is.True(!r.Evacuations().AsOf.After(turnedAway))
 	r.refuse(false)
--- a/internal/host/station/station.go
+++ b/internal/host/scheduler/scheduler.go
@@ -1,4 +1,4 @@
-package station
+package scheduler
 
 import (
 	"context"
@@ -14,12 +14,12 @@
 	"guavaglade.example/guavaglade/internal/config/catalog"
 	"guavaglade.example/guavaglade/internal/fleet/evacuation"
 	"guavaglade.example/guavaglade/internal/fleet/order"
+	"guavaglade.example/guavaglade/internal/host/boottime"
 	"guavaglade.example/guavaglade/internal/host/dispatcher"
 	"guavaglade.example/guavaglade/internal/host/entry"
 	"guavaglade.example/guavaglade/internal/host/leader"
 	"guavaglade.example/guavaglade/internal/host/peer"
 	"guavaglade.example/guavaglade/internal/host/rpc"
-	"guavaglade.example/guavaglade/internal/host/steady"
 	"guavaglade.example/guavaglade/internal/platform/store"
 	"guavaglade.example/guavaglade/internal/report/burn"
 	"guavaglade.example/guavaglade/internal/work/dispatch"
@@ -51,8 +51,8 @@
 	Evacuated func(store.Key) (zone string, ok bool)
 }
 
-// Station is one process of the system.
-type Station struct {
+// Scheduler is one process of the system.
+type Scheduler struct {
 	identity Identity
 	config   Configuration
 	grace    time.Duration // a planned stop takes at most so long
@@ -104,15 +104,15 @@
 
 // New returns a station that is not running yet. Each process has an incarnation
 // of its own, so that a later one at the same address is told from it.
-func New(id Identity, p Ports, c Configuration, log logr.Logger, opts ...Option) *Station {
+func New(id Identity, p Ports, c Configuration, log logr.Logger, opts ...Option) *Scheduler {
 	set := options{metrics: tally.NoopScope, grace: defaultGrace, unready: unreadyTime, bounds: dispatch.DefaultBounds()}
 	for _, o := range opts {
 		o(&set)
 	}
 	holder := id.Name + "#" + strconv.FormatInt(time.Now().UnixNano(), 36)
-	s := &Station{
+	s := &Scheduler{
 		identity: id, config: c, grace: set.grace, unready: set.unready, log: log, metrics: set.metrics,
-		keeper: catalog.NewKeeper(c.Decode), zones: evacuation.NewRegister(), currency: newCurrency(steady.Now), burn: burn.New(holder),
+		keeper: catalog.NewKeeper(c.Decode), zones: evacuation.NewRegister(), currency: newCurrency(boottime.Now), burn: burn.New(holder),
 	}
 	s.store = store.NewMonitor(store.NewInstrumented(p.Store, set.metrics), leader.RowKey, s.storeChanged)
 	desk := []dispatcher.Option{
@@ -135,7 +135,7 @@
 	return s
 }
 
-func (s *Station) storeChanged(up bool, err error) {
+func (s *Scheduler) storeChanged(up bool, err error) {
 	s.election.StoreChanged(up)
 	if up {
 		s.log.Info("store regained", "host", s.identity.Name)
@@ -144,12 +144,12 @@
 	s.log.Info("store lost", "host", s.identity.Name, "error", fmt.Sprint(err))
 }
 
-func (s *Station) adopted(version int64, from string) {
+func (s *Scheduler) adopted(version int64, from string) {
 	s.log.Info("configuration in force", "version", version, "from", from)
 }
 
 // recordOutcome counts a job that ended, for the burn report.
-func (s *Station) recordOutcome(d dispatch.JobEnded) {
+func (s *Scheduler) recordOutcome(d dispatch.JobEnded) {
 	objectives := s.keeper.Current().Objectives()
 	well := d.State == progress.Completed
 	if objectives[d.Job.Service].Within == 0 {
@@ -160,7 +160,7 @@
 }
 
 // Burn returns the burn report of all hosts that answer.
-func (s *Station) Burn(ctx context.Context) (burn.Report, error) {
+func (s *Scheduler) Burn(ctx context.Context) (burn.Report, error) {
 	counted, err := s.endpoint.Burn(ctx)
 	if err != nil {
 		return burn.Report{}, err
@@ -169,43 +169,43 @@
 }
 
 // Views returns what operators and clients read.
-func (s *Station) Views() *rpc.Endpoint { return s.endpoint }
+func (s *Scheduler) Views() *rpc.Endpoint { return s.endpoint }
 
 // Store returns the store as the station reaches it.
-func (s *Station) Store() store.Store { return s.store }
+func (s *Scheduler) Store() store.Store { return s.store }
 
 // StoreUp reports whether the store serves this host, as far as is known.
-func (s *Station) StoreUp() bool { return s.store.Up() }
+func (s *Scheduler) StoreUp() bool { return s.store.Up() }
 
 // Entry returns what serves requests.
-func (s *Station) Entry() *entry.Entry { return s.entry }
+func (s *Scheduler) Entry() *entry.Entry { return s.entry }
 
 // Catalog returns the configuration in force.
-func (s *Station) Catalog() *catalog.Keeper { return s.keeper }
+func (s *Scheduler) Catalog() *catalog.Keeper { return s.keeper }
 
 // AwaitCatalog waits a moment if the host cannot know whether its configuration is
 // the newest, as after its process stood still. While the store is away it does not
 // wait: the configuration in force is what there is.
-func (s *Station) AwaitCatalog(ctx context.Context) {
+func (s *Scheduler) AwaitCatalog(ctx context.Context) {
 	if s.store.Up() {
 		s.currency.await(ctx)
 	}
 }
 
 // Log returns where the station logs.
-func (s *Station) Log() logr.Logger { return s.log }
+func (s *Scheduler) Log() logr.Logger { return s.log }
 
 // Metrics returns where the station counts.
-func (s *Station) Metrics() tally.Scope { return s.metrics }
+func (s *Scheduler) Metrics() tally.Scope { return s.metrics }
 
 // Stopping reports whether a planned stop has begun: clients are told not to use
 // their connections again.
-func (s *Station) Stopping() bool { return s.stopping.Load() }
+func (s *Scheduler) Stopping() bool { return s.stopping.Load() }
 
 // Ready reports whether clients should be sent here. A host on which nothing can
 // be stored, as in a zone that is cut off, would refuse them all; if all hosts of
 // a zone say so, its clients go to the next zone.
-func (s *Station) Ready() bool {
+func (s *Scheduler) Ready() bool {
 	return !s.stopping.Load() && s.keeper.Current() != nil && s.endpoint.CanServe()
 }
 
@@ -221,7 +221,7 @@
 // Run serves peers on the listener until the context ends, then stops as planned:
 // it gives up leadership at once, lets the balancer see that it is not ready, and
 // has drain finish what clients wait for. An error says that it could not serve.
-func (s *Station) Run(ctx context.Context, peers net.Listener, drain func(ctx context.Context)) error {
+func (s *Scheduler) Run(ctx context.Context, peers net.Listener, drain func(ctx context.Context)) error {
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	failed := make(chan error, 1)
@@ -245,7 +245,7 @@
 }
 
 // stop ends the station within the time that a planned stop may take.
-func (s *Station) stop(ctx context.Context, elected chan struct{}, drain func(ctx context.Context)) {
+func (s *Scheduler) stop(ctx context.Context, elected chan struct{}, drain func(ctx context.Context)) {
 	s.log.Info("host stops", "host", s.identity.Name)
 	s.stopping.Store(true)
 	last, cancel := context.WithTimeout(ctx, max(s.grace-stopMargin, s.unready))
--- a/internal/host/station/station_test.go
+++ b/internal/host/scheduler/scheduler_test.go
@@ -1,4 +1,4 @@
-package station_test
+package scheduler_test
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 
 	"guavaglade.example/guavaglade/internal/config/catalog"
 	"guavaglade.example/guavaglade/internal/host/leader"
-	"guavaglade.example/guavaglade/internal/host/station"
+	"guavaglade.example/guavaglade/internal/host/scheduler"
 	"guavaglade.example/guavaglade/internal/platform/store"
 	"guavaglade.example/guavaglade/internal/standin/pool"
 	"guavaglade.example/guavaglade/internal/standin/rows"
@@ -34,7 +34,7 @@
 
 // running is a station of a test.
 type running struct {
-	*station.Station
+	*scheduler.Scheduler
 	table   *rows.Table
 	link    *rows.Link
 	peers   net.Listener
@@ -61,9 +61,9 @@
 		r.lines = append(r.lines, line)
 	}, funcr.Options{})
 	r.link = rows.NewLink(r.table, rnd)
-	ports := station.Ports{Store: r.link, Line: pool.NewLine(shared, 0, rnd), Roster: shared}
-	id := station.Identity{Name: "leon-1", Zone: "leon", Peers: l.Addr().String()}
-	r.Station = station.New(id, ports, station.Configuration{Key: configKey, Decode: decode, Evacuated: zoneOf}, log, station.WithUnreadyTime(10*time.Millisecond))
+	ports := scheduler.Ports{Store: r.link, Line: pool.NewLine(shared, 0, rnd), Roster: shared}
+	id := scheduler.Identity{Name: "leon-1", Zone: "leon", Peers: l.Addr().String()}
+	r.Scheduler = scheduler.New(id, ports, scheduler.Configuration{Key: configKey, Decode: decode, Evacuated: zoneOf}, log, scheduler.WithUnreadyTime(10*time.Millisecond))
 	go func() {
 		r.ended <- r.Run(ctx, l, func(context.Context) { r.drained <- r.Stopping() })
 	}()
--- a/internal/operator/demo/deployment.go
+++ b/internal/operator/demo/deployment.go
@@ -5,7 +5,7 @@
 
 	"github.com/go-logr/logr"
 
-	"guavaglade.example/guavaglade/internal/host/station"
+	"guavaglade.example/guavaglade/internal/host/scheduler"
 	"guavaglade.example/guavaglade/internal/standin/site"
 	"guavaglade.example/guavaglade/platform"
 	"guavaglade.example/guavaglade/platform/standin"
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	p.LearnFromRows()
-	ways := func(_ int, log logr.Logger) station.Ports { return platform.Ports(p.Address(), log) }
+	ways := func(_ int, log logr.Logger) scheduler.Ports { return platform.Ports(p.Address(), log) }
 	hosts, err := site.Start(ways, site.WithOperatorKey(keyHash), site.WithLog(log))
 	if err != nil {
 		p.Close()
--- a/internal/proof/session/session_test.go
+++ b/internal/proof/session/session_test.go
@@ -18,8 +18,8 @@
 
 	"guavaglade.example/guavaglade/internal/fleet/roster"
 	"guavaglade.example/guavaglade/internal/host/credential"
+	"guavaglade.example/guavaglade/internal/host/scheduler"
 	"guavaglade.example/guavaglade/internal/host/settings"
-	"guavaglade.example/guavaglade/internal/host/station"
 	"guavaglade.example/guavaglade/internal/standin/pool"
 	"guavaglade.example/guavaglade/internal/standin/rows"
 	"guavaglade.example/guavaglade/internal/standin/site"
@@ -89,11 +89,11 @@
 	s := &session{t: t}
 	table := rows.New(time.Millisecond)
 	shared := newTargets(ctx, table)
-	b, err := site.Start(func(host int, _ logr.Logger) station.Ports {
+	b, err := site.Start(func(host int, _ logr.Logger) scheduler.Ports {
 		link := rows.NewLink(table, rand.New(rand.NewPCG(uint64(host), 1)))
 		s.links = append(s.links, link)
 		line := pool.NewLine(shared, 0, rand.New(rand.NewPCG(uint64(host), 2)))
-		return station.Ports{Store: link, Line: line, Roster: shared}
+		return scheduler.Ports{Store: link, Line: line, Roster: shared}
 	}, site.WithHosts(1), site.WithOperatorKey(credential.NewKey(operator).Hash()), site.WithSettings(settings.WithUnreadyTime(10*time.Millisecond)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -8,8 +8,8 @@
 	"github.com/go-logr/logr"
 
 	"guavaglade.example/guavaglade/internal/host/process"
+	"guavaglade.example/guavaglade/internal/host/scheduler"
 	"guavaglade.example/guavaglade/internal/host/settings"
-	"guavaglade.example/guavaglade/internal/host/station"
 	"guavaglade.example/guavaglade/internal/report/metrics"
 )
 
@@ -20,7 +20,7 @@
 const nowhere = loopback + ":1"
 
 // Ways gives a host its ways to the platform.
-type Ways func(host int, log logr.Logger) station.Ports
+type Ways func(host int, log logr.Logger) scheduler.Ports
 
 // Zones are the availability zones of a site.
 var Zones = []string{"leon", "celaya", "irapuato"}
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -17,7 +17,7 @@
 	bounds             Bounds
 	term               int64
 	log                Log
-	wallOffset         time.Duration // time of day minus the steady time that is passed in
+	wallOffset         time.Duration // time of day minus the boot time that is passed in
 	targets            map[string]*target
 	sortedTargets      []*target   // by id, so that decisions do not depend on map order
 	racks              [][]*target // the same by rack; nil: to be put together anew
@@ -103,7 +103,7 @@
 	m.checkGuarantees()
 }
 
-// SetWallOffset tells the time of day minus the steady time that the other methods
+// SetWallOffset tells the time of day minus the boot time that the other methods
 // are given.
 func (m *Machine) SetWallOffset(offset time.Duration) { m.wallOffset = offset }
 
