--- a/internal/work/dispatch/backlog_test.go
+++ b/internal/work/dispatch/backlog_test.go
@@ -60,7 +60,7 @@
 	is.Equal(len(first), 40)
 	d.now = d.now.Add(backlogPause)
 	is.Equal(len(savedStarts(d)), 0) // none was answered
-	d.m.Accept(d.makeJob(2, 0, urgent(4, 1)), d.now)
+	d.m.Accept(d.makeJob(2, 0, urgentGang(4, 1)), d.now)
 	is.Equal(len(savedStarts(d)), 4)
 	for _, c := range first {
 		d.m.StartAnswered(c.Target.ID, c.Order.Run, 1, nil, d.now)
@@ -92,9 +92,9 @@
 	d := newSimulation(t, 6, 8, b)
 	d.m.SetGuarantees(map[string]int{"a": 100})
 	d.m.SetMaxPendingStarts(4)
-	d.m.Accept(d.makeJob(1, 0, urgent(4, 1)), d.now)
+	d.m.Accept(d.makeJob(1, 0, urgentGang(4, 1)), d.now)
 	is.Equal(len(savedStarts(d)), 4)
-	d.m.Accept(d.makeJob(2, 0, urgent(4, 1)), d.now)
+	d.m.Accept(d.makeJob(2, 0, urgentGang(4, 1)), d.now)
 	is.Equal(len(savedStarts(d)), 0)
 	d.now = d.now.Add(b.ReclaimTime - b.MaxStopTime - reclaimMargin + 10*time.Millisecond)
 	d.m.UpdateTargets(d.p.Roster(), d.now, d.now)
@@ -114,7 +114,7 @@
 	d.now = d.now.Add(30 * time.Second) // all that runs is too dear to stop for less
 	const slow = 500 * time.Millisecond
 	d.m.SetOrderTime(slow)
-	d.m.Accept(d.makeJob(2, 0, urgent(4, 8)), d.now)
+	d.m.Accept(d.makeJob(2, 0, urgentGang(4, 8)), d.now)
 	s := d.m.openSteps[len(d.m.openSteps)-1]
 	usual := b.ReclaimTime - b.MaxStopTime - reclaimMargin
 	is.True(!d.m.guaranteeDue(s, d.now.Add(usual-2*slow-10*time.Millisecond)))
@@ -135,7 +135,7 @@
 		}
 		return false
 	}
-	id := d.submit(1, time.Second, urgent(16, 4))
+	id := d.submit(1, time.Second, urgentGang(16, 4))
 	d.run(3 * time.Second)
 	is.True(d.duration(id) > 0)
 	is.Equal(stops, 0)
--- a/internal/work/dispatch/evacuation_test.go
+++ b/internal/work/dispatch/evacuation_test.go
@@ -69,7 +69,7 @@
 // A zone is evacuated while starts there are being saved on a slow store: they are given
 // up at once and placed elsewhere, and not only once the store has answered.
 func TestZoneIsEvacuatedWhileStartsAreSaved(t *testing.T) {
-	for name, step := range map[string]graph.Step{"tasks": small(12), "gang": urgent(3, 8)} {
+	for name, step := range map[string]graph.Step{"tasks": small(12), "gang": urgentGang(3, 8)} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := newSimulation(t, 3, 3, DefaultBounds())
--- a/internal/work/dispatch/fit_test.go
+++ b/internal/work/dispatch/fit_test.go
@@ -18,9 +18,9 @@
 	d := newSimulation(t, 1, 8, DefaultBounds())
 	d.submit(2, 6*time.Second, small(1))
 	d.run(100 * time.Millisecond)
-	d.submit(1, 8*time.Second, large(4, 1))
+	d.submit(1, 8*time.Second, largeGang(4, 1))
 	d.run(100 * time.Millisecond)
-	most := 0
+	maxLarge := 0
 	for _, x := range d.m.sortedTargets {
 		n := 0
 		for r := range x.runs {
@@ -28,9 +28,9 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		maxLarge = max(maxLarge, n)
 	}
-	is.Equal(most, 1)
+	is.Equal(maxLarge, 1)
 	d.submit(2, 6*time.Second, small(48))
 	d.run(100 * time.Millisecond)
 	is.True(d.m.Counts().Runs >= 52) // nearly all accelerators work
@@ -62,7 +62,7 @@
 // rather than never.
 func TestGangLargerThanARack(t *testing.T) {
 	d := newSimulation(t, 2, 2, DefaultBounds())
-	d.submit(1, 2*time.Second, large(4, 8))
+	d.submit(1, 2*time.Second, largeGang(4, 8))
 	d.run(10 * time.Second)
 	d.check()
 }
@@ -97,9 +97,9 @@
 
 func TestTasksThatFit(t *testing.T) {
 	is := is.New(t)
-	room := graph.Resources{CPU: 64000, MemoryMB: 262144, Accelerators: 8}
-	is.Equal(tasksThatFit(graph.Resources{CPU: 26000, MemoryMB: 75000, Accelerators: 1}, room), 2)
-	is.Equal(tasksThatFit(graph.Resources{Accelerators: 8}, room), 1)
-	is.Equal(tasksThatFit(graph.Resources{MemoryMB: 300000}, room), 0)
+	free := graph.Resources{CPU: 64000, MemoryMB: 262144, Accelerators: 8}
+	is.Equal(tasksThatFit(graph.Resources{CPU: 26000, MemoryMB: 75000, Accelerators: 1}, free), 2)
+	is.Equal(tasksThatFit(graph.Resources{Accelerators: 8}, free), 1)
+	is.Equal(tasksThatFit(graph.Resources{MemoryMB: 300000}, free), 0)
 	is.Equal(tasksThatFit(graph.Resources{CPU: 1}, graph.Resources{CPU: -5}), 0)
 }
--- a/internal/work/dispatch/gang_end_test.go
+++ b/internal/work/dispatch/gang_end_test.go
@@ -30,7 +30,7 @@
 func TestGangRestartsBeforeLeaseOfDeadTargetLapses(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 6, DefaultBounds())
-	id := d.submit(0, 3*time.Second, urgent(3, 8))
+	id := d.submit(0, 3*time.Second, urgentGang(3, 8))
 	d.run(time.Second)
 	dead := d.m.jobs[id].steps[0].tasks[1].runs[0].target.ID
 	d.dropCommand = func(c Command) bool { return targetOf(c) == dead }
@@ -46,7 +46,7 @@
 func TestGangWithTwoMembersOnDeadTargetRestartsEarly(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 6, DefaultBounds())
-	id := d.submit(0, 3*time.Second, urgent(6, 4))
+	id := d.submit(0, 3*time.Second, urgentGang(6, 4))
 	d.run(time.Second)
 	dead := d.m.jobs[id].steps[0].tasks[1].runs[0].target
 	is.Equal(len(dead.runs), 2)
@@ -62,7 +62,7 @@
 func TestGangWaitsForMembersOnUnreachableTarget(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 6, DefaultBounds())
-	id := d.submit(0, 3*time.Second, urgent(6, 4))
+	id := d.submit(0, 3*time.Second, urgentGang(6, 4))
 	d.run(time.Second)
 	s := d.m.jobs[id].steps[0]
 	cut := s.tasks[1].runs[0].target
@@ -89,7 +89,7 @@
 func TestGangWaitsForTwoDeadTargets(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 6, DefaultBounds())
-	id := d.submit(0, 3*time.Second, urgent(3, 8))
+	id := d.submit(0, 3*time.Second, urgentGang(3, 8))
 	d.run(time.Second)
 	dead := map[string]bool{}
 	for _, x := range d.m.jobs[id].steps[0].tasks[1:] {
@@ -112,7 +112,7 @@
 func TestGangWaitsForOutcomeOfLastAttempt(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 6, DefaultBounds())
-	id := d.submit(0, 8*time.Second, urgent(3, 8))
+	id := d.submit(0, 8*time.Second, urgentGang(3, 8))
 	spec := d.m.jobs[id].spec
 	spec.MaxAttempts = 2
 	d.p.Submit(spec, pool.Behaviour{
--- a/internal/work/dispatch/gang_test.go
+++ b/internal/work/dispatch/gang_test.go
@@ -20,7 +20,7 @@
 		}
 		d.m.newPass(d.now)
 		for n := range rapid.IntRange(2, 12).Draw(rt, "gangs") {
-			g := large(rapid.IntRange(1, 20).Draw(rt, "members"), rapid.SampledFrom([]int{1, 2, 4, 8}).Draw(rt, "accelerators"))
+			g := largeGang(rapid.IntRange(1, 20).Draw(rt, "members"), rapid.SampledFrom([]int{1, 2, 4, 8}).Draw(rt, "accelerators"))
 			g.SameRack = rapid.Bool().Draw(rt, "same rack")
 			d.m.Accept(d.makeJob(100+n, 1, g), d.now)
 			s := d.m.openSteps[len(d.m.openSteps)-1]
@@ -29,8 +29,8 @@
 				d.m.placeGang(s, d.now)
 				continue
 			}
-			for _, c := range d.m.targetSets(s, d.now) {
-				if plan, _ := d.m.fill(s, c.targets, d.now); plan != nil && (c.slowdowns == 0 || slower) {
+			for _, set := range d.m.targetSets(s, d.now) {
+				if plan, _ := d.m.fill(s, set.targets, d.now); plan != nil && (set.slowdowns == 0 || slower) {
 					rt.Fatalf("%d members of %d accelerators fit", len(s.tasks), s.spec.Needs.Accelerators)
 				}
 			}
@@ -47,7 +47,7 @@
 		d.startAll()
 	}
 	d.now = d.now.Add(30 * time.Second)
-	d.m.Accept(d.makeJob(2, 0, urgent(8, 8)), d.now)
+	d.m.Accept(d.makeJob(2, 0, urgentGang(8, 8)), d.now)
 	s := d.m.openSteps[len(d.m.openSteps)-1]
 	searches, last := 0, s.nextPreemptionAt
 	for range 100 {
--- a/internal/work/dispatch/health_test.go
+++ b/internal/work/dispatch/health_test.go
@@ -61,7 +61,7 @@
 	d.setFailingTargets(true)
 	var ids []graph.JobID
 	for range 20 {
-		ids = append(ids, d.submit(0, 2500*time.Millisecond, urgent(4, 4)))
+		ids = append(ids, d.submit(0, 2500*time.Millisecond, urgentGang(4, 4)))
 		d.run(300 * time.Millisecond)
 	}
 	d.setFailingTargets(false)
--- a/internal/work/dispatch/load_test.go
+++ b/internal/work/dispatch/load_test.go
@@ -28,11 +28,11 @@
 	n := gangAccelerators[s.rnd.IntN(len(gangAccelerators))]
 	switch x := s.rnd.Float64(); {
 	case x < 0.17:
-		g := large(min(width(4), 16), n)
+		g := largeGang(min(width(4), 16), n)
 		g.SameRack = s.rnd.Float64() < 0.6
 		s.submit(1, around(8500*time.Millisecond), g)
 	case x < 0.80:
-		g := urgent(min(width(2.5), 12), n)
+		g := urgentGang(min(width(2.5), 12), n)
 		g.SameRack = s.rnd.Float64() < 0.8
 		s.submit(0, around(2500*time.Millisecond), g)
 	default:
@@ -54,13 +54,13 @@
 // within so many times their estimate.
 func (s *workload) shareInTime(priority int, within float64, before time.Time) float64 {
 	n, good := 0, 0
-	for id, asked := range s.submittedAt {
+	for id, submittedAt := range s.submittedAt {
 		j := s.m.jobs[id]
-		if j == nil || j.spec.Priority != priority || asked.After(before) {
+		if j == nil || j.spec.Priority != priority || submittedAt.After(before) {
 			continue
 		}
 		n++
-		if at, ok := s.endedAt[id]; ok && at.Sub(asked) <= time.Duration(within*float64(j.spec.Steps[0].Estimate)) {
+		if at, ok := s.endedAt[id]; ok && at.Sub(submittedAt) <= time.Duration(within*float64(j.spec.Steps[0].Estimate)) {
 			good++
 		}
 	}
@@ -74,14 +74,14 @@
 // machine's time costs, with the stand-in targets.
 func BenchmarkDecide(b *testing.B) {
 	for _, x := range []struct {
-		name           string
-		racks, perRack int
-		rate, wide     float64
+		name              string
+		racks, perRack    int
+		rate, widthFactor float64
 	}{
 		{"48", 6, 8, 4, 1}, {"48full", 6, 8, 9, 1}, {"350", 18, 20, 12, 2}, {"350full", 18, 20, 28, 2}, {"920", 46, 20, 30, 2}, {"1100", 138, 8, 33, 4},
 	} {
 		b.Run(x.name, func(b *testing.B) {
-			s := &workload{simulation: newSimulation(b, x.racks, x.perRack, DefaultBounds()), rnd: rand.New(rand.NewPCG(1, 2)), rate: x.rate, widthFactor: x.wide}
+			s := &workload{simulation: newSimulation(b, x.racks, x.perRack, DefaultBounds()), rnd: rand.New(rand.NewPCG(1, 2)), rate: x.rate, widthFactor: x.widthFactor}
 			s.runWithLoad(15 * time.Second)
 			b.ResetTimer()
 			for b.Loop() {
@@ -106,7 +106,7 @@
 			}
 			d.now = d.now.Add(30 * time.Second)
 			for n := range 300 {
-				d.m.Accept(d.makeJob(1000+n, 0, urgent(1+n%16, []int{1, 2, 4, 8, 8}[n%5])), d.now)
+				d.m.Accept(d.makeJob(1000+n, 0, urgentGang(1+n%16, []int{1, 2, 4, 8, 8}[n%5])), d.now)
 			}
 			d.m.Decide(d.now)
 			for b.Loop() {
--- a/internal/work/dispatch/preemption_test.go
+++ b/internal/work/dispatch/preemption_test.go
@@ -17,7 +17,7 @@
 	d := newSimulation(t, 1, 4, DefaultBounds())
 	d.submit(2, 6*time.Second, small(32))
 	d.run(time.Second)
-	id := d.submit(0, 2500*time.Millisecond, urgent(2, 8))
+	id := d.submit(0, 2500*time.Millisecond, urgentGang(2, 8))
 	d.run(4 * time.Second)
 	is.True(d.duration(id) > 0)
 	is.True(d.duration(id) < 4*time.Second) // its objective
@@ -30,9 +30,9 @@
 func TestCostlyPreemptionIsAvoided(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 4, DefaultBounds())
-	gang := d.submit(1, 8*time.Second, large(4, 8))
+	gang := d.submit(1, 8*time.Second, largeGang(4, 8))
 	d.run(5 * time.Second)
-	d.submit(0, 2500*time.Millisecond, urgent(1, 1))
+	d.submit(0, 2500*time.Millisecond, urgentGang(1, 1))
 	d.run(3500 * time.Millisecond)
 	is.True(d.duration(gang) > 0) // not stopped
 	d.run(20 * time.Second)
@@ -46,9 +46,9 @@
 	b := DefaultBounds()
 	d := newSimulation(t, 1, 4, b)
 	d.m.SetGuarantees(map[string]int{"a": 8})
-	d.submit(1, 8*time.Second, large(4, 8))
+	d.submit(1, 8*time.Second, largeGang(4, 8))
 	d.run(time.Second)
-	id := d.submit(0, 2500*time.Millisecond, urgent(1, 1))
+	id := d.submit(0, 2500*time.Millisecond, urgentGang(1, 1))
 	d.run(b.ReclaimTime)
 	is.Equal(d.state(id), progress.Running)
 	d.run(40 * time.Second)
@@ -64,11 +64,11 @@
 	d.submit(2, 6*time.Second, small(32))
 	d.run(1500 * time.Millisecond)
 	d.dropCommand = func(c Command) bool {
-		h, ok := c.(Poll)
-		return ok && !h.Extra
+		poll, ok := c.(Poll)
+		return ok && !poll.Extra
 	}
 	d.run(1500 * time.Millisecond) // the polls that were answered are asked again, and lost
-	id := d.submit(0, 2500*time.Millisecond, urgent(2, 8))
+	id := d.submit(0, 2500*time.Millisecond, urgentGang(2, 8))
 	d.run(1500 * time.Millisecond)
 	is.Equal(d.state(id), progress.Running)
 	d.dropCommand = nil
@@ -84,7 +84,7 @@
 	d := newSimulation(t, 1, 2, DefaultBounds())
 	d.submit(1, 3*time.Second, graph.Step{Count: 2, Needs: graph.Resources{CPU: 26000, Accelerators: 8}, Estimate: 8 * time.Second, Gang: true})
 	d.run(2500 * time.Millisecond)
-	id := d.submit(0, 2500*time.Millisecond, urgent(2, 4))
+	id := d.submit(0, 2500*time.Millisecond, urgentGang(2, 4))
 	d.submit(2, 6*time.Second, small(16))
 	d.run(time.Second) // the large gang ends
 	is.Equal(d.state(id), progress.Running)
--- a/internal/work/dispatch/reachability_test.go
+++ b/internal/work/dispatch/reachability_test.go
@@ -30,11 +30,11 @@
 	d := newSimulation(t, 3, 4, DefaultBounds())
 	zone := d.m.sortedTargets[0].Zone // its rack is tried first
 	d.disconnectZone(zone)
-	first := d.submit(0, 2*time.Second, urgent(2, 8))
+	first := d.submit(0, 2*time.Second, urgentGang(2, 8))
 	d.run(500 * time.Millisecond)
 	var ids []graph.JobID
 	for range 4 {
-		ids = append(ids, d.submit(0, 2*time.Second, urgent(2, 8)))
+		ids = append(ids, d.submit(0, 2*time.Second, urgentGang(2, 8)))
 		d.run(300 * time.Millisecond)
 	}
 	d.run(3 * time.Second)
@@ -59,7 +59,7 @@
 	is := is.New(t)
 	d := newSimulation(t, 3, 8, DefaultBounds())
 	zone := d.m.sortedTargets[0].Zone
-	d.submit(2, 8*time.Second, urgent(3, 8)) // on three targets of the zone
+	d.submit(2, 8*time.Second, urgentGang(3, 8)) // on three targets of the zone
 	d.run(1500 * time.Millisecond)
 	d.disconnectZone(zone)
 	broken := 0
@@ -72,7 +72,7 @@
 	is.Equal(broken, 3)
 	var ids []graph.JobID
 	for range 3 {
-		ids = append(ids, d.submit(0, time.Second, urgent(2, 8)))
+		ids = append(ids, d.submit(0, time.Second, urgentGang(2, 8)))
 		d.run(100 * time.Millisecond)
 	}
 	d.run(2 * time.Second)
@@ -89,7 +89,7 @@
 func TestTargetCrashesDoNotCloseBusyZone(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 8, DefaultBounds())
-	d.submit(2, 8*time.Second, urgent(2, 8))
+	d.submit(2, 8*time.Second, urgentGang(2, 8))
 	d.submit(2, time.Second, small(1)) // ends in the moment of the crash
 	d.run(1100 * time.Millisecond)
 	bad := map[string]bool{}
@@ -102,7 +102,7 @@
 	}
 	is.Equal(len(bad), 2)
 	d.dropCommand = func(c Command) bool { return bad[targetOf(c)] }
-	id := d.submit(0, time.Second, urgent(5, 8))
+	id := d.submit(0, time.Second, urgentGang(5, 8))
 	d.run(1500 * time.Millisecond)
 	is.True(d.duration(id) > 0)
 	d.dropCommand = nil
@@ -156,7 +156,7 @@
 	d.submit(2, time.Second, small(1))
 	d.run(500 * time.Millisecond)
 	is.True(!d.m.sortedTargets[0].responsive())
-	id := d.submit(0, 2*time.Second, urgent(3, 8))
+	id := d.submit(0, 2*time.Second, urgentGang(3, 8))
 	d.run(3 * time.Second)
 	is.True(d.duration(id) > 0)
 	d.dropCommand = nil
@@ -174,7 +174,7 @@
 	d.submit(2, 6*time.Second, small(9)) // on both
 	d.run(500 * time.Millisecond)
 	is.True(!d.m.sortedTargets[1].responsive())
-	id := d.submit(0, 2*time.Second, urgent(3, 8))
+	id := d.submit(0, 2*time.Second, urgentGang(3, 8))
 	d.run(3 * time.Second)
 	is.True(d.duration(id) > 0)
 	d.dropCommand = nil
--- a/internal/work/dispatch/simulation_test.go
+++ b/internal/work/dispatch/simulation_test.go
@@ -88,14 +88,14 @@
 }
 
 func (d *simulation) after(wait time.Duration, f func()) {
-	h := event{at: d.now.Add(wait), do: f}
-	at, _ := slices.BinarySearchFunc(d.events, h, func(a, b event) int {
+	e := event{at: d.now.Add(wait), do: f}
+	at, _ := slices.BinarySearchFunc(d.events, e, func(a, b event) int {
 		if c := a.at.Compare(b.at); c != 0 {
 			return c
 		}
 		return -1
 	})
-	d.events = slices.Insert(d.events, at, h)
+	d.events = slices.Insert(d.events, at, e)
 }
 
 // run lets time pass.
@@ -104,12 +104,12 @@
 	for d.now.Before(until) {
 		next := d.now.Add(simulationStep)
 		for len(d.events) > 0 && !d.events[0].at.After(next) {
-			h := d.events[0]
+			e := d.events[0]
 			d.events = d.events[1:]
-			if h.at.After(d.now) {
-				d.now = h.at
+			if e.at.After(d.now) {
+				d.now = e.at
 			}
-			h.do()
+			e.do()
 			d.decide()
 		}
 		d.now = next
@@ -140,10 +140,10 @@
 
 func (d *simulation) execute(c Command) {
 	lost := d.dropCommand != nil && d.dropCommand(c)
-	muted := d.dropAnswer != nil && d.dropAnswer(c)
+	answerLost := d.dropAnswer != nil && d.dropAnswer(c)
 	switch c := c.(type) {
 	case Start:
-		if muted {
+		if answerLost {
 			d.after(oneWay, func() { _, _ = d.p.Start(c.Target, c.Order, d.now) })
 			lost = true
 		}
@@ -252,16 +252,16 @@
 	return graph.Step{Count: count, Needs: graph.Resources{CPU: 5600, MemoryMB: 29000, Accelerators: 1}, Estimate: 6 * time.Second}
 }
 
-// large returns a gang of large tasks on one rack.
-func large(count, accelerators int) graph.Step {
+// largeGang returns a gang of large tasks on one rack.
+func largeGang(count, accelerators int) graph.Step {
 	return graph.Step{
 		Count: count, Needs: graph.Resources{CPU: 26000, MemoryMB: 75000, Accelerators: accelerators},
 		Estimate: 8500 * time.Millisecond, Gang: true, SameRack: true,
 	}
 }
 
-// urgent returns a gang as urgent jobs ask for.
-func urgent(count, accelerators int) graph.Step {
+// urgentGang returns a gang such as urgent jobs consist of.
+func urgentGang(count, accelerators int) graph.Step {
 	return graph.Step{
 		Count: count, Needs: graph.Resources{CPU: 7500, MemoryMB: 39000, Accelerators: accelerators},
 		Estimate: 2500 * time.Millisecond, Gang: true, SameRack: true,
