--- a/internal/work/dispatch/accept.go
+++ b/internal/work/dispatch/accept.go
@@ -146,7 +146,7 @@
 
 func (m *Machine) openNextOccurrence(j *job, now time.Time) {
 	for _, s := range j.createOccurrence() {
-		if s.blocked == 0 {
+		if s.blockedBy == 0 {
 			m.stepUnblocked(s, now)
 		}
 	}
@@ -167,7 +167,7 @@
 
 // enqueueStep puts a step that may have a task to start among the open ones.
 func (m *Machine) enqueueStep(s *step, _ time.Time) {
-	if s.blocked > 0 || s.done || s.job.finished() || s.queued {
+	if s.blockedBy > 0 || s.done || s.job.finished() || s.queued {
 		return
 	}
 	s.queued = true
--- a/internal/work/dispatch/bounds.go
+++ b/internal/work/dispatch/bounds.go
@@ -5,16 +5,16 @@
 // Bounds are the figures of a deployment that decisions depend on. Each has a
 // default that suits a small deployment.
 type Bounds struct {
-	Lease       time.Duration // longest lease that a target grants
-	MaxStopTime time.Duration // a target takes at most so long to stop a run
-	GangTimeout time.Duration // members wait so long for the others
-	RestoreTime time.Duration // a run that resumes from a checkpoint works from then on
-	FarFactor   float64       // a task away from its data, or a gang on several racks, takes so many times as long
-	ReclaimTime time.Duration // within it, guaranteed work has begun
-	Retention   time.Duration // how long the state of an ended job is known
-	DrainTime   time.Duration // a target that leaves gets no work after it
-	Parts       int           // parts over which jobs are spread
-	MaxListAge  time.Duration // nothing is placed by a list of targets that is older; 0: no limit
+	Lease          time.Duration // longest lease that a target grants
+	MaxStopTime    time.Duration // a target takes at most so long to stop a run
+	GangTimeout    time.Duration // members wait so long for the others
+	RestoreTime    time.Duration // a run that resumes from a checkpoint works from then on
+	RemoteSlowdown float64       // a task away from its data, or a gang on several racks, takes so many times as long
+	ReclaimTime    time.Duration // within it, guaranteed work has begun
+	Retention      time.Duration // how long the state of an ended job is known
+	DrainTime      time.Duration // a target that leaves gets no work after it
+	Parts          int           // parts over which jobs are spread
+	MaxListAge     time.Duration // nothing is placed by a list of targets that is older; 0: no limit
 	// EvacuateTime is how long after a zone was evacuated work may still start there; 0: not bounded.
 	EvacuateTime time.Duration
 	// MaxEvacuationAge bounds the age of what is known of evacuations when work starts; 0: no limit.
@@ -25,7 +25,7 @@
 func DefaultBounds() Bounds {
 	return Bounds{
 		Lease: 6 * time.Second, MaxStopTime: 400 * time.Millisecond, GangTimeout: 3 * time.Second,
-		RestoreTime: 100 * time.Millisecond, FarFactor: 3,
+		RestoreTime: 100 * time.Millisecond, RemoteSlowdown: 3,
 		ReclaimTime: 2900 * time.Millisecond, DrainTime: 2 * time.Second, EvacuateTime: 5 * time.Second, Retention: 120 * time.Second, Parts: 4,
 	}
 }
--- a/internal/work/dispatch/ends.go
+++ b/internal/work/dispatch/ends.go
@@ -165,8 +165,8 @@
 	}
 	s.done = true
 	s.job.stepsLeft--
-	for _, n := range s.next {
-		if n.blocked--; n.blocked == 0 {
+	for _, n := range s.dependents {
+		if n.blockedBy--; n.blockedBy == 0 {
 			m.stepUnblocked(n, now)
 		}
 	}
@@ -295,7 +295,7 @@
 		reason = "its task is done"
 	case len(x.runs) > 0 && !x.step.spec.Speculative:
 		reason = "its task runs elsewhere"
-	case x.step.blocked > 0:
+	case x.step.blockedBy > 0:
 		reason = "its step is not due"
 	}
 	r.task = x
--- a/internal/work/dispatch/fit.go
+++ b/internal/work/dispatch/fit.go
@@ -52,19 +52,19 @@
 // fit says how well a task fits a target; lower is better, the first difference
 // decides.
 type fit struct {
-	risk         int // 1 if the target is not known to be sound and this is the last attempt, 2 if it is doubted or slow, or the task avoids it
-	cold         int // 1 if the target is still slow after its start
-	remote       int // 1 if its data is on another rack
-	interference int // tasks there that it would disturb, or that would disturb it
-	stranded     int // accelerators that nobody could use beside it and could before
-	left         int // accelerators left free
-	cpu          int // processor time left free
+	risk             int // 1 if the target is not known to be sound and this is the last attempt, 2 if it is doubted or slow, or the task avoids it
+	cold             int // 1 if the target is still slow after its start
+	remote           int // 1 if its data is on another rack
+	interference     int // tasks there that it would disturb, or that would disturb it
+	stranded         int // accelerators that nobody could use beside it and could before
+	acceleratorsLeft int // accelerators left free
+	cpuLeft          int // processor time left free
 }
 
 func (f fit) compare(o fit) int {
 	return cmp.Or(
 		cmp.Compare(f.risk, o.risk), cmp.Compare(f.cold, o.cold), cmp.Compare(f.remote, o.remote), cmp.Compare(f.interference, o.interference), cmp.Compare(f.stranded, o.stranded),
-		cmp.Compare(f.left, o.left), cmp.Compare(f.cpu, o.cpu),
+		cmp.Compare(f.acceleratorsLeft, o.acceleratorsLeft), cmp.Compare(f.cpuLeft, o.cpuLeft),
 	)
 }
 
@@ -72,7 +72,7 @@
 func (m *Machine) fitOf(x *task, t *target, free graph.Resources, now time.Time) fit {
 	charge := x.step.spec.Charge()
 	remaining := free.Minus(charge)
-	f := fit{interference: t.interference(x.step), left: remaining.Accelerators, cpu: remaining.CPU, stranded: m.stranded(remaining) - m.stranded(free)}
+	f := fit{interference: t.interference(x.step), acceleratorsLeft: remaining.Accelerators, cpuLeft: remaining.CPU, stranded: m.stranded(remaining) - m.stranded(free)}
 	switch {
 	case x.attempts().avoids(t) || t.health.Suspect(now) || t.health.Slow(now):
 		f.risk = 2
--- a/internal/work/dispatch/gang.go
+++ b/internal/work/dispatch/gang.go
@@ -48,18 +48,18 @@
 	var all []*target
 	var list []targetSet
 	for _, rack := range m.racksInOrder() {
-		c := targetSet{}
+		set := targetSet{}
 		if s.spec.DataRack != "" && rack[0].Rack != s.spec.DataRack {
-			c.slowdowns++
+			set.slowdowns++
 		}
 		for _, t := range rack {
 			if s.eligible(t, now) && !s.tasks[0].excludes(t, now) {
-				c.targets = append(c.targets, t)
+				set.targets = append(set.targets, t)
 			}
 		}
-		all = append(all, c.targets...)
-		if s.canFit(c.targets) {
-			list = append(list, c)
+		all = append(all, set.targets...)
+		if s.canFit(set.targets) {
+			list = append(list, set)
 		}
 	}
 	if !s.spec.SameRack && s.spec.DataRack == "" {
@@ -163,11 +163,11 @@
 func (m *Machine) planOnSets(s *step, sets []targetSet, unplaceable, preempt bool, now time.Time) []*target {
 	var best []*target
 	bestLeft := 0
-	for _, c := range sets {
+	for _, set := range sets {
 		if unplaceable {
 			break
 		}
-		if plan, left := m.fill(s, c.targets, now); plan != nil && (best == nil || left < bestLeft) {
+		if plan, left := m.fill(s, set.targets, now); plan != nil && (best == nil || left < bestLeft) {
 			best, bestLeft = plan, left
 		}
 	}
--- a/internal/work/dispatch/health.go
+++ b/internal/work/dispatch/health.go
@@ -29,7 +29,7 @@
 		}
 	}
 	worked := now.Sub(began)
-	if r.resumedAt != "" {
+	if r.resumedFrom != "" {
 		worked -= m.bounds.RestoreTime
 	}
 	return max(worked, 0)
--- a/internal/work/dispatch/job.go
+++ b/internal/work/dispatch/job.go
@@ -33,15 +33,15 @@
 
 // step is one step of one occurrence.
 type step struct {
-	job       *job
-	id        graph.StepID
-	spec      *graph.Step
-	blocked   int     // earlier steps that are not done
-	next      []*step // steps that wait for this one
-	tasks     []*task
-	tasksLeft int
-	done      bool
-	dueAt     int64 // milliseconds since 1970 from which it may start; 0: at once
+	job        *job
+	id         graph.StepID
+	spec       *graph.Step
+	blockedBy  int     // earlier steps that are not done
+	dependents []*step // steps that wait for this one
+	tasks      []*task
+	tasksLeft  int
+	done       bool
+	dueAt      int64 // milliseconds since 1970 from which it may start; 0: at once
 	// Of a gang.
 	gangRun          int
 	doneRun          int       // run that ended done, of a gang's members or the last task; 0: none or not known
@@ -103,8 +103,8 @@
 		}
 		for _, a := range s.spec.After {
 			before := j.steps[first+a]
-			before.next = append(before.next, s)
-			s.blocked++
+			before.dependents = append(before.dependents, s)
+			s.blockedBy++
 		}
 		j.steps = append(j.steps, s)
 	}
@@ -113,7 +113,7 @@
 	opened := j.steps[first:]
 	for i := len(opened) - 1; i >= 0; i-- {
 		s := opened[i]
-		for _, n := range s.next {
+		for _, n := range s.dependents {
 			s.criticalPath = max(s.criticalPath, n.criticalPath)
 		}
 		s.criticalPath += s.spec.Estimate
--- a/internal/work/dispatch/orders.go
+++ b/internal/work/dispatch/orders.go
@@ -56,7 +56,7 @@
 			m.stopGang(r, "a member's target leaves or does not answer", now)
 		default:
 			r.phase = starting
-			r.resumedAt = r.task.checkpoint()
+			r.resumedFrom = r.task.checkpoint()
 			m.sendStart(r, now)
 		}
 	}
@@ -80,9 +80,9 @@
 	m.considerPoll(t)
 	m.commands = append(m.commands, Start{Target: t.address(), Zone: t.Zone, Order: order.Start{
 		Run: r.Run, Spec: r.task.step.job.spec.Spec, Deadline: t.grantLease(now, m.bounds.Lease),
-		Term: m.term, Checkpoint: r.resumedAt, Ticket: r.ticket,
+		Term: m.term, Checkpoint: r.resumedFrom, Ticket: r.ticket,
 	}, Class: t.class(m.startClass(r.task.step, now))})
-	m.log.Decided("start run", "target", t.ID, "task", r.Task, "run", r.Number, "try", r.startsSent, "checkpoint", r.resumedAt)
+	m.log.Decided("start run", "target", t.ID, "task", r.Task, "run", r.Number, "try", r.startsSent, "checkpoint", r.resumedFrom)
 }
 
 // StartAnswered takes in what became of a start; err is nil or wraps one of
--- a/internal/work/dispatch/preemption.go
+++ b/internal/work/dispatch/preemption.go
@@ -58,12 +58,12 @@
 func (m *Machine) preemptForGang(s *step, sets []targetSet, now time.Time) []*target {
 	var best *preemptionPlan
 	for _, set := range sets {
-		c := m.newPreemptionPlan(s, now)
+		plan := m.newPreemptionPlan(s, now)
 		if best != nil {
-			c.maxCost = best.cost
+			plan.maxCost = best.cost
 		}
-		if c.fillSet(set.targets) {
-			best = c
+		if plan.fillSet(set.targets) {
+			best = plan
 		}
 	}
 	s.reservation = nil
@@ -165,13 +165,13 @@
 // freeAfterStops returns the room on a target once the runs that are being stopped
 // there have ended.
 func (t *target) freeAfterStops() graph.Resources {
-	room := t.freeCapacity()
+	free := t.freeCapacity()
 	for _, r := range t.runs {
 		if r.phase == stopping {
-			room = room.Plus(r.charge)
+			free = free.Plus(r.charge)
 		}
 	}
-	return room
+	return free
 }
 
 // free returns the room on a target under the plan, once the runs that are
--- a/internal/work/dispatch/run.go
+++ b/internal/work/dispatch/run.go
@@ -34,7 +34,7 @@
 	unanswered      bool      // a start was sent whose answer never came
 	orderPending    bool      // an order is outstanding
 	orderAnsweredAt time.Time // the target answered the start or the stop; zero: neither
-	resumedAt       string    // checkpoint that the start carried
+	resumedFrom     string    // checkpoint that the start carried
 	checkpoint      string    // newest that was reported
 	ticket          string    // that the start carries
 	paceShare       int       // at which a best-effort run works, in percent
--- a/internal/work/dispatch/schedule.go
+++ b/internal/work/dispatch/schedule.go
@@ -86,13 +86,13 @@
 // placeNewSteps places steps that came up since the last pass, so that urgent work
 // need not wait for the next one.
 func (m *Machine) placeNewSteps(now time.Time) {
-	fresh := m.newSteps
+	steps := m.newSteps
 	m.newSteps = nil
-	if len(fresh) == 0 {
+	if len(steps) == 0 {
 		return
 	}
 	m.newPass(now)
-	for _, s := range fresh {
+	for _, s := range steps {
 		if s.queued && !s.done && !s.job.finished() && s.job.spec.Priority == 0 && !m.throttled(s, now) && m.placeStep(s, now) {
 			m.requestAdvice(s, now)
 		}
@@ -112,7 +112,7 @@
 	})
 	m.reserved = nil
 	startsPending := false // for starts that are on their way
-	open := m.openSteps[:0]
+	remaining := m.openSteps[:0]
 	for _, s := range m.openSteps {
 		if s.done || s.job.finished() {
 			s.queued = false
@@ -129,13 +129,13 @@
 			m.requestAdvice(s, now)
 		}
 		if more {
-			open = append(open, s)
+			remaining = append(remaining, s)
 		} else {
 			s.queued = false
 		}
 	}
-	clear(m.openSteps[len(open):])
-	m.openSteps = open
+	clear(m.openSteps[len(remaining):])
+	m.openSteps = remaining
 	m.nextPassAt = now.Add(time.Duration(m.targetsConsidered) * passPausePerTarget)
 	if startsPending {
 		m.placementDue = true
@@ -209,14 +209,14 @@
 	if s.spec.Gang {
 		return m.placeGang(s, now)
 	}
-	left, full := false, false
+	more, skipRest := false, false
 	for _, x := range s.tasks {
 		if x.done || len(x.runs) > 0 {
 			continue
 		}
-		full = full || m.throttled(s, now)
-		if full || now.Before(x.pausedUntil) {
-			left = true
+		skipRest = skipRest || m.throttled(s, now)
+		if skipRest || now.Before(x.pausedUntil) {
+			more = true
 			continue
 		}
 		t := m.chooseTarget(x, now)
@@ -224,11 +224,11 @@
 			t = m.preemptFor(x, now)
 		}
 		if t == nil {
-			left = true
-			full = len(x.attempts().avoidedTargets) == 0 // the other tasks are alike
+			more = true
+			skipRest = len(x.attempts().avoidedTargets) == 0 // the other tasks are alike
 			continue
 		}
 		m.recordIfFits([]*run{m.place(x, t, x.highestRun+1, now)})
 	}
-	return left
+	return more
 }
--- a/internal/work/dispatch/straggler.go
+++ b/internal/work/dispatch/straggler.go
@@ -107,10 +107,10 @@
 	slowdown := 1.0
 	s := r.task.step.spec
 	if s.DataRack != "" && r.target.Rack != s.DataRack {
-		slowdown *= m.bounds.FarFactor
+		slowdown *= m.bounds.RemoteSlowdown
 	}
 	if s.SameRack && severalRacks {
-		slowdown *= m.bounds.FarFactor
+		slowdown *= m.bounds.RemoteSlowdown
 	}
 	return slowdown
 }
