--- a/internal/work/dispatch/job.go
+++ b/internal/work/dispatch/job.go
@@ -7,57 +7,56 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// job is an accepted job of which not everything has ended, or whose end is
-// still told.
+// job is an accepted job that has not ended, or whose final state clients may still
+// query.
 type job struct {
 	spec      *graph.Job
 	part      int
-	steps     []*step        // of the occurrences that are open, in order
-	opened    int            // occurrences opened so far
+	steps     []*step        // of the open occurrences, in order
+	opened    int            // number of occurrences opened so far
 	stepsLeft int            // open steps that are not done
-	cancelled bool           //
-	state     progress.State // as decided
-	published progress.State // as clients may be told
-	endedAt   int64          // of a final state: milliseconds since 1970
+	cancelled bool           // by its client
+	state     progress.State // as decided; may not be saved yet
+	published progress.State // as clients may see it
+	endedAt   int64          // when it reached a final state, in milliseconds since 1970; 0: it has not
 	started   bool           // a task has started
 	liveRuns  map[*run]bool  // runs that may exist
-	version   int64          // of the progress row
-	rev       int64          // rises with each change that must be saved
-	savedRev  int64          // the newest that was saved
-	sentRev   int64          // of the save that is outstanding
-	sentState progress.State // of the save that is outstanding
-	dirty     bool           // waits for a save
-	learnedAt time.Time      // when the leader heard of it
-	objective time.Duration  // within which it earns its whole worth
+	version   int64          // version of the progress row
+	rev       int64          // revision, incremented by each change that must be saved
+	savedRev  int64          // newest revision that is saved
+	sentRev   int64          // revision in the outstanding save
+	sentState progress.State // state in the outstanding save
+	dirty     bool           // changed since its last save was sent
+	learnedAt time.Time      // when the machine learned of it
+	objective time.Duration  // duration from its release within which it earns its full value
 }
 
 // step is one step of one occurrence.
 type step struct {
-	job        *job
-	id         graph.StepID
-	spec       *graph.Step
-	blockedBy  int     // earlier steps that are not done
-	dependents []*step // steps that wait for this one
-	tasks      []*task
-	tasksLeft  int
-	done       bool
-	dueAt      int64 // milliseconds since 1970 from which it may start; 0: at once
-	// Of a gang.
-	gangRun          int
-	doneRun          int       // run that ended done, of a gang's members or the last task; 0: none or not known
-	doneAt           time.Time // when that was taken in
-	savedCheckpoint  string
+	job              *job
+	id               graph.StepID
+	spec             *graph.Step
+	blockedBy        int     // number of steps it depends on that are not done
+	dependents       []*step // steps that depend on this one
+	tasks            []*task
+	tasksLeft        int
+	done             bool
+	dueAt            int64     // when its occurrence is due, in milliseconds since 1970; 0: no due time
+	gangRun          int       // highest run number of a gang
+	doneRun          int       // number of the run that was done last; 0: none or not known
+	doneAt           time.Time // when the machine learned that it was done
+	savedCheckpoint  string    // checkpoint that a gang resumes from
 	permits          permits
-	gangAttempts     attempts        // of a gang
-	gangEnd          gangEnd         // of a gang
+	gangAttempts     attempts        // used for gangs only
+	gangEnd          gangEnd         // used for gangs only
 	failedTargets    map[string]bool // targets on which a task failed
-	speeds           stepSpeeds      // its tasks together, as last looked at
-	pausedUntil      time.Time
-	nextPreemptionAt time.Time     // no room is cleared for it before
-	reservation      []*target     // that are held back for it until then
-	rank             int64         // order among the open steps in this pass
-	criticalPath     time.Duration // estimated work from this step on, along the longest chain
-	queued           bool          // it is among the machine's open steps
+	speeds           stepSpeeds      // speeds of its tasks, as last measured
+	pausedUntil      time.Time       // a gang is not placed before
+	nextPreemptionAt time.Time       // earliest time of the next search for work to preempt
+	reservation      []*target       // targets reserved for it until then
+	rank             int64           // order among the open steps in this pass, lowest first
+	criticalPath     time.Duration   // estimated duration of the critical path from this step on
+	queued           bool            // it is in Machine.openSteps
 }
 
 // task is one task of a step.
@@ -65,16 +64,16 @@
 	step            *step
 	index           int
 	done            bool
-	highestRun      int    // highest run number that may have been used
-	savedCheckpoint string // checkpoint to resume from
-	runs            []*run // that may exist; at most one unless the step allows copies
-	pausedUntil     time.Time
-	ownAttempts     attempts // of one that is in no gang
+	highestRun      int       // highest run number that may have been used
+	savedCheckpoint string    // checkpoint to resume from, unless it is in a gang
+	runs            []*run    // runs that may exist; at most one unless the step allows speculative runs
+	pausedUntil     time.Time // it is not placed before
+	ownAttempts     attempts  // used unless it is in a gang
 }
 
 func (t *task) id() graph.TaskID { return t.step.id.Task(t.index) }
 
-// checkpoint returns from where a new run of the task goes on.
+// checkpoint returns the checkpoint from which a new run of the task resumes.
 func (t *task) checkpoint() string {
 	if t.step.spec.Gang {
 		return t.step.savedCheckpoint
@@ -90,7 +89,7 @@
 	}
 }
 
-// createOccurrence opens the next occurrence: its steps exist from now on.
+// createOccurrence creates the steps of the next occurrence and returns them.
 func (j *job) createOccurrence() []*step {
 	first := len(j.steps)
 	for i := range j.spec.Steps {
@@ -121,8 +120,8 @@
 	return opened
 }
 
-// findTask returns the task, or nil if the job has no such task or the occurrence
-// is not open.
+// findTask returns the task, or nil if the job has no such task or the occurrence is
+// not open.
 func (j *job) findTask(id graph.TaskID) *task {
 	stepsPerOccurrence := len(j.spec.Steps)
 	if id.Occurrence >= j.opened || id.Step >= stepsPerOccurrence {
@@ -135,11 +134,12 @@
 	return s.tasks[id.Index]
 }
 
-// finished reports whether nothing of the job is to be started any more.
+// finished reports whether the job is cancelled or in a final state, so that nothing
+// of it is started any more.
 func (j *job) finished() bool { return j.cancelled || j.state.Final() }
 
-// releaseTime returns the moment from which the step's job earns, in milliseconds
-// since 1970.
+// releaseTime returns when the step's occurrence became due or, without a due time, when
+// its job was accepted, in milliseconds since 1970. Objectives count from then.
 func (s *step) releaseTime() int64 {
 	if s.dueAt > 0 {
 		return s.dueAt
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -12,46 +12,46 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// Machine decides for one term.
+// Machine makes the scheduling decisions of one term.
 type Machine struct {
 	bounds             Bounds
 	term               int64
 	log                Log
-	wallOffset         time.Duration // time of day minus the steady time that is passed in
+	wallOffset         time.Duration // time of day minus the boot-time clock that callers pass
 	targets            map[string]*target
 	sortedTargets      []*target   // by id, so that decisions do not depend on map order
-	racks              [][]*target // the same by rack; nil: to be put together anew
+	racks              [][]*target // sortedTargets grouped by rack; nil: to be rebuilt
 	jobs               map[graph.JobID]*job
-	recurring          []*job  // in the order in which they came
-	openSteps          []*step // steps that have tasks to start, in the order in which they came
+	recurring          []*job  // jobs that recur, in the order of their arrival
+	openSteps          []*step // steps with tasks to start, by rank as of the last pass, new ones last
 	parts              []part
 	commands           []Command
-	placementEnabled   bool // placing is allowed
+	placementEnabled   bool // set by EnablePlacement
 	placementEnabledAt time.Time
-	listAsOf           time.Time // when the list of targets was read that is known
-	pollCandidates     []*target // for which a poll is to be considered
-	newSteps           []*step   // that came up since the last pass
-	nextPassAt         time.Time // the next pass is not before
+	listAsOf           time.Time // when the current list of targets was read
+	pollCandidates     []*target // targets that may be due for a poll
+	newSteps           []*step   // steps opened since the last pass
+	nextPassAt         time.Time // earliest start of the next pass
 	pass               pass
 	backlog            backlog
-	orderTime          time.Duration              // that an order usually takes
-	waitingRuns        []*run                     // that wait for room, in the order in which they were placed; some may have ceased to
-	recheckWaiting     bool                       // room came free, or more waits for it
-	targetsConsidered  int                        // targets considered in this pass, over all steps
-	reserved           map[*target]map[*step]bool // targets kept for urgent steps, in this pass
+	orderTime          time.Duration              // usual duration of an order
+	waitingRuns        []*run                     // runs in the order of placement that awaited capacity; some may not any more
+	recheckWaiting     bool                       // capacity was freed, or another run awaits it
+	targetsConsidered  int                        // targets considered in this pass, summed over all steps
+	reserved           map[*target]map[*step]bool // targets reserved for urgent steps in this pass
 	advicePending      bool                       // a call for advice is outstanding
-	nextForgetAt       time.Time                  // no jobs are forgotten before
-	nextAdviceAt       time.Time                  // no call for advice before
+	nextForgetAt       time.Time                  // earliest time to forget jobs
+	nextAdviceAt       time.Time                  // earliest time of the next call for advice
 	smallestTask       graph.Resources            // needs of the smallest task with one accelerator
-	guaranteed         map[string]int             // accelerators for jobs of priority 0, by account
-	guaranteesExceeded bool                       // the guarantees do not fit in the room that may be used
-	evacuated          evacuation.Status          // the zones that operators evacuate
-	placementDue       bool                       // something may be startable that was not
-	deposed            bool
+	guaranteed         map[string]int             // accelerators guaranteed to jobs of priority 0, by account
+	guaranteesExceeded bool                       // the guarantees exceed the usable accelerators
+	evacuated          evacuation.Status          // zones evacuated by operators
+	placementDue       bool                       // something may have become placeable since the last pass
+	deposed            bool                       // a newer term has begun
 }
 
-// Log takes in what was decided, one line for each decision. Its methods must
-// not block. kv are keys and values in turn.
+// Log receives one line for each decision, with alternating keys and values. Its
+// methods must not block.
 type Log interface {
 	Decided(what string, kv ...any)
 }
@@ -63,11 +63,11 @@
 // Option sets one property of a new machine.
 type Option func(*Machine)
 
-// WithLog sets where decisions are logged; without it they are not.
+// WithLog sets the log of decisions. Without it, decisions are not logged.
 func WithLog(l Log) Option { return func(m *Machine) { m.log = l } }
 
-// New returns a machine for a term, which must be above 0 and higher than any
-// earlier leader's.
+// New returns a machine for a term, which must be positive and higher than that of
+// every earlier leader.
 func New(term int64, b Bounds, opts ...Option) *Machine {
 	m := &Machine{
 		bounds: b, term: term, log: discardLog{}, targets: map[string]*target{}, jobs: map[graph.JobID]*job{},
@@ -79,7 +79,7 @@
 	return m
 }
 
-// PartOf returns the part in which the rows of a job are.
+// PartOf returns the part that holds the rows of a job.
 func PartOf(id graph.JobID, parts int) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // never fails
@@ -89,30 +89,31 @@
 // Term returns the machine's term.
 func (m *Machine) Term() int64 { return m.term }
 
-// Deposed reports whether a target or the store has shown that a newer term
-// has begun. The machine gives no commands from then on.
+// Deposed reports whether a newer term has begun, as a target or the store has shown.
+// Decide returns no commands from then on, and the caller ends the term.
 func (m *Machine) Deposed() bool { return m.deposed }
 
-// Depose ends the machine's term.
+// Depose ends the machine's term. The caller uses it when the store shows a newer term.
 func (m *Machine) Depose() { m.deposed = true }
 
-// SetGuarantees tells how many accelerators each client account is guaranteed for
-// its jobs of priority 0.
+// SetGuarantees sets how many accelerators each client account is guaranteed for its
+// jobs of priority 0. It is called for each new version of the configuration.
 func (m *Machine) SetGuarantees(byAccount map[string]int) {
 	m.guaranteed = byAccount
 	m.checkGuarantees()
 }
 
-// SetWallOffset tells the time of day minus the steady time that the other methods
-// are given.
+// SetWallOffset sets the time of day minus the boot-time clock that callers pass as
+// now. It is called before jobs are restored and before each Tick.
 func (m *Machine) SetWallOffset(offset time.Duration) { m.wallOffset = offset }
 
 // wallMS returns the time of day in milliseconds since 1970.
 func (m *Machine) wallMS(now time.Time) int64 { return now.Add(m.wallOffset).UnixMilli() }
 
-// EnablePlacement allows placing: all accepted jobs and all registered targets were told.
-// What an earlier leader recorded on targets that do not report is believed over at
-// predecessorLeasesEnd: by then all leases have lapsed that it can have granted.
+// EnablePlacement allows placement. It is called once, after all accepted jobs were
+// restored and the first list of targets was read. Runs that an earlier leader recorded
+// on targets that do not report are taken to have ended at predecessorLeasesEnd, when
+// all leases that it can have granted have expired.
 func (m *Machine) EnablePlacement(predecessorLeasesEnd, now time.Time) {
 	m.placementEnabled, m.placementEnabledAt, m.placementDue = true, now, true
 	for _, t := range m.sortedTargets {
@@ -122,7 +123,8 @@
 	}
 }
 
-// Tick does what is due.
+// Tick does what is due by time alone: it opens occurrences, repeats orders, polls
+// targets and forgets ended jobs. It is called at short, regular intervals.
 func (m *Machine) Tick(now time.Time) {
 	m.openRecurring(now)
 	for _, t := range slices.Clone(m.sortedTargets) {
@@ -142,7 +144,8 @@
 	m.placementDue, m.recheckWaiting = true, true
 }
 
-// UpdateTargets takes in the targets that the platform's list had at a time, all of them.
+// UpdateTargets replaces the list of targets by the platform's complete list as of a
+// time. It is called after each read of that list.
 func (m *Machine) UpdateTargets(list []roster.Target, asOf, now time.Time) {
 	m.listAsOf = asOf
 	present := map[string]bool{}
@@ -160,9 +163,9 @@
 	m.checkGuarantees()
 }
 
-// listIsCurrent reports whether the list is young enough to place by. A leader that is
-// overloaded, or that reads the list slowly, would otherwise start work on a target
-// that said long ago that it leaves.
+// listIsCurrent reports whether the list of targets is recent enough for placement. With
+// an older list, a leader that is overloaded or reads the list slowly would start work on
+// a target that announced long ago that it drains.
 func (m *Machine) listIsCurrent(now time.Time) bool {
 	return m.bounds.MaxListAge == 0 || now.Sub(m.listAsOf) <= m.bounds.MaxListAge
 }
@@ -174,7 +177,7 @@
 	}
 	if l.Draining && !t.Draining {
 		t.drainingAt = now
-		m.log.Decided("target drains", "target", t.ID, "remainsMS", l.RemainingMS, "runs", len(t.runs))
+		m.log.Decided("target started draining", "target", t.ID, "remainsMS", l.RemainingMS, "runs", len(t.runs))
 	}
 	if l.RemainingMS != t.RemainingMS {
 		t.remainsToldAt = now
--- a/internal/work/dispatch/run.go
+++ b/internal/work/dispatch/run.go
@@ -7,20 +7,19 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// phase is how far a run has come.
+// phase is the state of a run in its life cycle.
 type phase int
 
 const (
-	awaitingCapacity phase = iota // for room on its target
-	recorded                      // its room is taken; it is started once that is saved
+	awaitingCapacity phase = iota // placed, but its target has no free capacity yet
+	recorded                      // holds capacity; its start is sent once the placement is saved
 	starting                      // a start was sent
-	running                       // the target has it
-	stopping                      // a stop is wanted
-	unconfirmed                   // an earlier leader recorded it; its target has not reported
+	running                       // on its target
+	stopping                      // to be stopped, whether or not the stop was answered
+	unconfirmed                   // recorded by an earlier leader; its target has not reported yet
 )
 
-// run is a run of a task on a target, from the decision to start it until it
-// cannot exist any more.
+// run is a run of a task on a target, from its placement until it can no longer exist.
 type run struct {
 	order.Run
 	task            *task
@@ -28,23 +27,23 @@
 	charge          graph.Resources
 	phase           phase
 	placedAt        time.Time
-	recordRev       int64     // revision of the job's progress that contains it
-	sentAt          time.Time // of the last order
-	startsSent      int       // starts sent
-	unanswered      bool      // a start was sent whose answer never came
+	recordRev       int64     // revision of the job's progress that records it
+	sentAt          time.Time // when the last order was sent
+	startsSent      int       // number of starts sent
+	unanswered      bool      // a start was sent and never answered
 	orderPending    bool      // an order is outstanding
-	orderAnsweredAt time.Time // the target answered the start or the stop; zero: neither
+	orderAnsweredAt time.Time // when the target answered the start or the stop; zero: neither
 	resumedFrom     string    // checkpoint that the start carried
-	checkpoint      string    // newest that was reported
-	ticket          string    // that the start carries
-	paceShare       int       // at which a best-effort run works, in percent
-	gauge           int       // as the target last reported it
-	percent         int
-	reportedAt      time.Time
-	progressedAt    time.Time // when the progress changed last
-	stalled         bool      // it was noticed that it stands still
-	firstProgressAt time.Time // when the first progress was reported; zero: none yet
-	firstPercent    int
-	beganAt         time.Time // first seen on the target
-	provedHealthy   bool      // it has worked long enough to speak for its target
+	checkpoint      string    // newest checkpoint reported
+	ticket          string    // advice ticket that the start carries
+	paceShare       int       // share of full speed that a best-effort run is allowed, in percent
+	gauge           int       // Running.Gauge, as the target last reported it
+	percent         int       // progress last reported
+	reportedAt      time.Time // when the progress was last reported
+	progressedAt    time.Time // when the progress last changed
+	stalled         bool      // it was found stalled since the progress last changed
+	firstProgressAt time.Time // when progress above 0 was first reported; zero: none yet
+	firstPercent    int       // progress reported then
+	beganAt         time.Time // when it was first known to be on the target
+	provedHealthy   bool      // it has worked long enough to be evidence of its target's health
 }
--- a/internal/work/dispatch/target.go
+++ b/internal/work/dispatch/target.go
@@ -9,56 +9,56 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// reachability is what the leader knows of its connection to a target.
+// reachability is what the machine knows about reaching a target in this term.
 type reachability int
 
 const (
-	notPolled   reachability = iota // not reported in this term: what runs there is not known
-	reachable                       // reported, and answers
-	unreachable                     // reported once, and does not answer now
+	notPolled   reachability = iota // has not reported in this term, so its runs are not known
+	reachable                       // has reported and answers
+	unreachable                     // has reported, but does not answer now
 )
 
 // target is one incarnation of a target.
 type target struct {
 	roster.Target
-	listed           bool          // the platform's list has it
-	evacuated        bool          // its zone is
-	warmUpEnd        time.Time     // it is slow until then
-	warmUpTime       time.Duration // that it has declared to be slow; 0: it is not
-	coldShare        float64       // of that, what is left: above 0 while it is slow
-	drainingAt       time.Time
+	listed           bool          // it is in the platform's list
+	evacuated        bool          // its zone is evacuated
+	warmUpEnd        time.Time     // end of its warm-up, during which it is slow
+	warmUpTime       time.Duration // length of its warm-up as declared; 0: it is warm
+	coldShare        float64       // share of warmUpTime that is left; above 0 during the warm-up
+	drainingAt       time.Time     // when it was first listed as draining
 	reach            reachability
-	unreachableSince time.Time          // when it ceased to answer
+	unreachableSince time.Time          // when it became unreachable
 	runs             map[order.Run]*run // all runs that may exist there
-	used             graph.Resources    // charge of the runs that may exist there
-	waitingCharge    graph.Resources    // charge of the runs that wait for room there
-	clockMS          int64              // its clock when last told
+	used             graph.Resources    // charge of the runs that hold capacity there
+	waitingCharge    graph.Resources    // charge of the runs that await capacity there
+	clockMS          int64              // its clock as last reported; 0: not known
 	clockAt          time.Time          // when that was received
-	leaseEnd         time.Time          // everything that was ordered there has lapsed by then
-	pollCandidate    bool               // among those for which a poll is to be considered
+	leaseEnd         time.Time          // when all leases granted there have expired
+	pollCandidate    bool               // it is in Machine.pollCandidates
 	pollPending      bool               // a poll is outstanding
 	pollSentAt       time.Time          // when the outstanding poll was sent
 	extraPollPending bool               // an extra poll is outstanding
 	extraPollSentAt  time.Time          // when the last extra poll was sent
 	reportedAt       time.Time          // when it last reported
-	answeredAt       time.Time          // when it last answered anything
-	unansweredSince  time.Time          // when the first order was sent that it has not answered, nor any since; zero: none
-	zoneUnreachable  bool               // its zone seems to be, and it has not answered since
-	nextPollAt       time.Time          // not before
-	reported         bool               // a first report came in this term
-	highestEnd       int64              // highest end number that was taken in
-	unsavedEnds      []unsavedEnd       // ends taken in and not yet saved, by number
-	unsavedPollAt    time.Time          // while ends are not saved: no poll before
-	acked            int64              // ends up to it are saved
-	confirmedAck     int64              // acknowledged in the poll that was answered last
-	ackDue           time.Time          // when unacknowledged ends are to be acknowledged at the latest; zero: none
+	answeredAt       time.Time          // when it last answered any order or poll
+	unansweredSince  time.Time          // when the first order or poll without an answer was sent; zero: none
+	zoneUnreachable  bool               // its zone seems unreachable, and it has not answered since
+	nextPollAt       time.Time          // earliest time of the next poll
+	reported         bool               // it has reported in this term
+	highestEnd       int64              // highest end number processed
+	unsavedEnds      []unsavedEnd       // ends processed and not yet saved, by number
+	unsavedPollAt    time.Time          // earliest time of the next poll while ends are not saved
+	acked            int64              // all ends up to this number are saved
+	confirmedAck     int64              // highest acknowledgement that a poll has delivered
+	ackDue           time.Time          // latest time to acknowledge saved ends; zero: none yet
 	health           health.Record
-	pacedAt          time.Time // when its best-effort tasks were paced last
-	remainsToldAt    time.Time // when it said how long it stays
-	suspendedUntil   time.Time // gets no work until then
+	pacedAt          time.Time // when the pace of its best-effort tasks last changed
+	remainsToldAt    time.Time // when it last announced its remaining time
+	suspendedUntil   time.Time // it gets no work until then
 }
 
-// unsavedEnd says which saved revision of a job contains an end.
+// unsavedEnd is an end that may be acknowledged once a revision of its job is saved.
 type unsavedEnd struct {
 	number int64
 	job    *job // nil: nothing to save
@@ -74,13 +74,14 @@
 	return t.listed && t.reach == reachable && t.responsive() && t.clockMS != 0 && t.acceptsStarts() && !now.Before(t.suspendedUntil) && !t.health.Quarantined(now)
 }
 
-// removable reports whether nothing need be known of the target any more: it has
-// left the list, nothing may run there and no end is left to acknowledge.
+// removable reports whether the target can be forgotten: it has left the list, nothing
+// may run there and no end is left to acknowledge.
 func (t *target) removable() bool {
 	return !t.listed && len(t.runs) == 0 && len(t.unsavedEnds) == 0 && (t.reach != reachable || t.acked == t.confirmedAck)
 }
 
-// freeCapacity returns what is free, counting what waits for capacity as taken.
+// freeCapacity returns the usable capacity minus the charges of all placed runs, those
+// that await capacity included.
 func (t *target) freeCapacity() graph.Resources {
 	return t.usableCapacity().Minus(t.used).Minus(t.waitingCharge)
 }
@@ -90,15 +91,15 @@
 	return t.clockMS + now.Sub(t.clockAt).Milliseconds()
 }
 
-// updateClock takes in the clock of an answer.
+// updateClock updates the estimate from the clock in an answer.
 func (t *target) updateClock(clock int64, now time.Time) {
 	if clock > 0 && (clock >= t.estimatedClock(now) || t.clockMS == 0 || now.Sub(t.clockAt) > time.Second) {
 		t.clockMS, t.clockAt = clock, now
 	}
 }
 
-// grantLease returns the deadline for an order that is sent now, and notes when all
-// that it may grant has lapsed: the target's clock may be slow by clockDrift.
+// grantLease returns the deadline of an order that is sent now, on the target's clock.
+// It extends leaseEnd for a target clock that is slow by clockDrift.
 func (t *target) grantLease(now time.Time, lease time.Duration) int64 {
 	end := now.Add(lease + time.Duration(float64(lease)*clockDrift*2) + leaseSlack)
 	if end.After(t.leaseEnd) {
