--- a/internal/work/dispatch/bounds.go
+++ b/internal/work/dispatch/bounds.go
@@ -2,26 +2,28 @@
 
 import "time"
 
-// Bounds are the figures of a deployment that decisions depend on. Each has a
-// default that suits a small deployment.
+// Bounds are the parameters of a deployment on which decisions depend. DefaultBounds
+// has values for a small deployment.
 type Bounds struct {
-	Lease          time.Duration // longest lease that a target grants
-	MaxStopTime    time.Duration // a target takes at most so long to stop a run
-	GangTimeout    time.Duration // members wait so long for the others
-	RestoreTime    time.Duration // a run that resumes from a checkpoint works from then on
-	RemoteSlowdown float64       // a task away from its data, or a gang on several racks, takes so many times as long
-	ReclaimTime    time.Duration // within it, guaranteed work has begun
-	Retention      time.Duration // how long the state of an ended job is known
-	DrainTime      time.Duration // a target that leaves gets no work after it
-	Parts          int           // parts over which jobs are spread
-	MaxListAge     time.Duration // nothing is placed by a list of targets that is older; 0: no limit
-	// EvacuateTime is how long after a zone was evacuated work may still start there; 0: not bounded.
+	Lease       time.Duration // longest lease that a target grants
+	MaxStopTime time.Duration // longest time that a target takes to stop a run
+	GangTimeout time.Duration // how long a gang's members wait for the others
+	RestoreTime time.Duration // time that a run takes to restore a checkpoint before it works
+	// RemoteSlowdown is the factor by which a task away from its data's rack, or a gang that
+	// wants one rack but runs on several, takes longer.
+	RemoteSlowdown float64
+	ReclaimTime    time.Duration // time within which guaranteed work must begin
+	Retention      time.Duration // how long clients can query the state of an ended job
+	DrainTime      time.Duration // time after which a draining target gets no work
+	Parts          int           // number of parts over which jobs are spread
+	MaxListAge     time.Duration // greatest age of the list of targets for placement; 0: no limit
+	// EvacuateTime is how long work may still start in a zone after its evacuation; 0: no limit.
 	EvacuateTime time.Duration
-	// MaxEvacuationAge bounds the age of what is known of evacuations when work starts; 0: no limit.
+	// MaxEvacuationAge is the greatest age of the evacuation status for starts; 0: no limit.
 	MaxEvacuationAge time.Duration
 }
 
-// DefaultBounds returns bounds for trials.
+// DefaultBounds returns bounds for tests and small deployments.
 func DefaultBounds() Bounds {
 	return Bounds{
 		Lease: 6 * time.Second, MaxStopTime: 400 * time.Millisecond, GangTimeout: 3 * time.Second,
@@ -31,22 +33,21 @@
 }
 
 const (
-	// maxPollWait is how long a report waits for an end: the longest that targets
-	// allow, so that a busy target without ends costs one call in two seconds.
+	// maxPollWait is how long a poll waits for an end. It is the longest wait that
+	// targets allow, so a busy target without ends costs one call every two seconds.
 	maxPollWait = 2 * time.Second
-	// clockDrift is the share by which a target's clock may be slow.
+	// clockDrift is the fraction by which a target's clock may run slow.
 	clockDrift = 0.02
-	// leaseSlack is added to the time after which a lease is believed over, for
-	// the whole milliseconds of the target's clock and the way there.
+	// leaseSlack is added to the time at which a lease is taken to have expired. It covers
+	// the rounding of the target's clock to milliseconds and the latency of the order.
 	leaseSlack = 100 * time.Millisecond
-	// orderRetryInterval is the time from an order to the next try if it got no answer:
-	// long enough for a lost packet to be sent again by TCP, and a tenth of the
-	// time that gangs wait.
+	// orderRetryInterval is the time after which an unanswered order is sent again. It
+	// allows for a TCP retransmission and is a tenth of the default GangTimeout.
 	orderRetryInterval = 300 * time.Millisecond
-	// maxStartsSent is how often a start without an answer is sent before the run
-	// is given up: with retryOrder well under the time that gangs wait.
+	// maxStartsSent is how often an unanswered start is sent before its run is given up.
+	// With orderRetryInterval, that takes well under GangTimeout.
 	maxStartsSent = 3
-	// pollRetryPause is the pause before a target that did not report is asked again.
+	// pollRetryPause is the pause before a target that did not report is polled again.
 	pollRetryPause = 300 * time.Millisecond
 	// saveRetryPause is the pause after the store refused a save.
 	saveRetryPause = 200 * time.Millisecond
--- a/internal/work/dispatch/command.go
+++ b/internal/work/dispatch/command.go
@@ -9,39 +9,39 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// Command is something for the shell to do. It is one of the types below.
+// Command is an action that the caller executes. It is one of the types below, Advise or
+// Pace.
 type Command interface{ command() }
 
-// Start asks for a start of a run on a target. The answer goes to
+// Start orders a target to start a run. The answer goes to
 // Machine.StartAnswered.
 type Start struct {
 	Target order.Address
-	Zone   string // the target's
+	Zone   string // zone of the target
 	Order  order.Start
-	Class  limiter.Class // in which it waits for its turn
+	Class  limiter.Class // class in which it queues
 }
 
-// Stop asks for a stop of a run on a target. The answer goes to
+// Stop orders a target to stop a run. The answer goes to
 // Machine.StopAnswered.
 type Stop struct {
 	Target order.Address
 	Run    order.Run
-	Class  limiter.Class // in which it waits for its turn
+	Class  limiter.Class // class in which it queues
 }
 
-// Poll asks for a report of a target. The answer goes to Machine.Polled or
-// Machine.PollFailed. A target has one poll outstanding at most, and beside it
-// one extra poll.
+// Poll requests a report from a target. The answer goes to Machine.Polled or
+// Machine.PollFailed. A target has at most one poll and one extra poll outstanding.
 type Poll struct {
 	Target order.Address
 	Order  order.Poll
-	Class  limiter.Class // in which it waits for its turn, unless it waits for an end
-	Extra  bool          // beside a poll that may have been lost
-	Sent   time.Time     // when the machine asked for it
+	Class  limiter.Class // class in which it queues, unless it waits for an end
+	Extra  bool          // sent while another poll, which may be lost, is outstanding
+	Sent   time.Time     // when the machine issued it
 }
 
-// missedSince returns the moment from which the report was missed that failed at a time: one that
-// waits for an end is not due before its wait is over, or its connection broke.
+// missedSince returns from when on the report of a poll that failed was overdue: from the
+// end of its wait, or from its failure if its connection broke before.
 func (p Poll) missedSince(failedAt time.Time) time.Time {
 	if due := p.Sent.Add(p.Order.Wait); due.Before(failedAt) {
 		return due
@@ -49,9 +49,9 @@
 	return failedAt
 }
 
-// Save asks for a transaction that writes the progress of jobs of one part. The
+// Save requests a transaction that writes the progress of jobs of one part. The
 // answer goes to Machine.Saved, Machine.SaveRefused or Machine.SaveFailed. A
-// part has one save outstanding at most.
+// part has at most one save outstanding.
 type Save struct {
 	Part int
 	Rows []SaveRow // never empty
@@ -61,23 +61,23 @@
 type SaveRow struct {
 	Job       graph.JobID
 	Value     []byte
-	Version   int64 // that the row must have; 0: it must not be there
+	Version   int64 // version that the row must have; 0: it must not exist
 	Completes bool  // the write must fail if the job was cancelled
 }
 
-// Forget asks to take the rows of jobs out of the store: they ended so long ago
-// that nobody is told their state any more. The answer goes to Machine.Forgotten.
+// Forget requests the removal of the rows of jobs that ended longer ago than
+// Bounds.Retention. The answer goes to Machine.Forgotten.
 type Forget struct {
 	Part int
 	Jobs []graph.JobID // never empty
 }
 
-// JobEnded tells that a job has ended, by itself and not by its client, and that
-// this is saved. There is no answer.
+// JobEnded reports that a job has ended, other than by cancellation, and that its final
+// state is saved. There is no answer.
 type JobEnded struct {
 	Job   *graph.Job // must not be changed
 	State progress.State
-	Took  time.Duration // from its acceptance
+	Took  time.Duration // from acceptance to end
 }
 
 func (Start) command()    {}
