--- a/internal/work/dispatch/fit.go
+++ b/internal/work/dispatch/fit.go
@@ -7,17 +7,20 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// eligible reports whether the step's tasks may run on the target at all.
+// eligible reports whether the target may run the step's tasks, regardless of its free
+// capacity.
 func (s *step) eligible(t *target, now time.Time) bool {
 	return s.eligibleWithoutAdvice(t, now) && s.permitted(t, now)
 }
 
-// eligibleWithoutAdvice reports the same, whether or not there is leave to run the step there.
+// eligibleWithoutAdvice is like eligible, but ignores whether the advice service permits
+// the step there.
 func (s *step) eligibleWithoutAdvice(t *target, now time.Time) bool {
 	return t.acceptsWork(now) && t.Service == s.job.spec.Service && t.HasLabel(s.spec.Label) && !t.excludedByProbation(s, now)
 }
 
-// perTargetLeft returns how many more tasks of the step the limit per target allows.
+// perTargetLeft returns how many more tasks of the step its limit per target allows on a
+// target.
 func (s *step) perTargetLeft(t *target) int {
 	if s.spec.PerTarget == 0 {
 		return len(s.tasks)
@@ -31,7 +34,7 @@
 	return n
 }
 
-// chooseTarget returns the target on which a task fits best, or nil.
+// chooseTarget returns the target that fits a task best, or nil if it fits none.
 func (m *Machine) chooseTarget(x *task, now time.Time) *target {
 	s := x.step
 	charge := s.spec.Charge()
@@ -49,16 +52,17 @@
 	return best
 }
 
-// fit says how well a task fits a target; lower is better, the first difference
-// decides.
+// fit rates a target for a task. Fits are compared field by field, and lower is better.
 type fit struct {
-	risk             int // 1 if the target is not known to be sound and this is the last attempt, 2 if it is doubted or slow, or the task avoids it
-	cold             int // 1 if the target is still slow after its start
-	remote           int // 1 if its data is on another rack
-	interference     int // tasks there that it would disturb, or that would disturb it
-	stranded         int // accelerators that nobody could use beside it and could before
+	// risk is 1 if the target is not proven and this is the last attempt, 2 if the target is
+	// suspect or slow, or the task avoids it.
+	risk             int
+	cold             int // 1 if the target is warming up
+	remote           int // 1 if the task's data is on another rack
+	interference     int // number of tasks there that would disturb it or that it would disturb
+	stranded         int // accelerators that other tasks could use before, but not beside it
 	acceleratorsLeft int // accelerators left free
-	cpuLeft          int // processor time left free
+	cpuLeft          int // CPU left free
 }
 
 func (f fit) compare(o fit) int {
@@ -68,7 +72,7 @@
 	)
 }
 
-// fitOf returns how well a task fits a target with the room.
+// fitOf rates a target with some free capacity for a task.
 func (m *Machine) fitOf(x *task, t *target, free graph.Resources, now time.Time) fit {
 	charge := x.step.spec.Charge()
 	remaining := free.Minus(charge)
@@ -88,9 +92,9 @@
 	return f
 }
 
-// stranded returns how many free accelerators no task could use, for want of
-// processor time or memory, if tasks were like the smallest seen lately. Large
-// tasks that take few accelerators strand the others unless they are spread.
+// stranded returns how many free accelerators no task could use for lack of CPU or
+// memory, if all tasks needed as much as the smallest one seen. Large tasks with few
+// accelerators strand the others of a target unless they are spread.
 func (m *Machine) stranded(free graph.Resources) int {
 	usable := free.Accelerators
 	if m.smallestTask.CPU > 0 {
@@ -102,7 +106,7 @@
 	return free.Accelerators - max(usable, 0)
 }
 
-// updateSmallestTask keeps the smallest needs of a task with one accelerator.
+// updateSmallestTask updates the smallest needs seen of a task with one accelerator.
 func (m *Machine) updateSmallestTask(spec *graph.Job) {
 	for i := range spec.Steps {
 		n := spec.Steps[i].Charge()
@@ -115,7 +119,7 @@
 	}
 }
 
-// reservedForOther reports whether a target is reserved for a step that is more urgent.
+// reservedForOther reports whether a target is reserved for another, more urgent step.
 func (m *Machine) reservedForOther(t *target, s *step) bool {
 	for o := range m.reserved[t] {
 		if o != s {
--- a/internal/work/dispatch/schedule.go
+++ b/internal/work/dispatch/schedule.go
@@ -10,8 +10,9 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// Decide returns the commands that follow from what the machine was told since
-// the last call: starts, stops, reports to ask for and progress to save.
+// Decide places work if that is due and returns all commands issued since the last call:
+// starts, stops, polls and saves among them. The caller calls it after it has passed in
+// new events, and when NextDecision says so.
 func (m *Machine) Decide(now time.Time) []Command {
 	if m.placementEnabled && m.placementDue && !m.deposed && !m.awaitingReports(now) && m.stateIsCurrent(now) {
 		m.recordWaiting(now)
@@ -36,8 +37,8 @@
 	return out
 }
 
-// NextDecision returns when Decide has something to do though nothing more happens, and
-// whether it has. It has not while what it knows of targets or zones is too old.
+// NextDecision returns when Decide is to be called next if no event comes before, and
+// whether it is. It is not while the list of targets or the evacuation status is too old.
 func (m *Machine) NextDecision(now time.Time) (time.Time, bool) {
 	at := m.nextPassAt
 	if ready := m.placementEnabledAt.Add(reportWait); at.Before(ready) {
@@ -46,7 +47,7 @@
 	return at, m.placementEnabled && m.placementDue && !m.deposed && m.stateIsCurrent(now)
 }
 
-// considerPoll has a poll considered for a target of which something has changed.
+// considerPoll has the next Decide check whether a target is due for a poll.
 func (m *Machine) considerPoll(t *target) {
 	if !t.pollCandidate {
 		t.pollCandidate = true
@@ -55,22 +56,22 @@
 }
 
 // passPausePerTarget is the pause after a pass for each target that was considered for a
-// step. A full backlog on many targets would otherwise take the whole processor:
-// each end frees some room, and each pass tries all that wait. At about 50 ns for
-// a target, passes take a tenth of the processor at most.
+// step. Without it, a full queue on many targets takes the whole processor, since each
+// end frees capacity and each pass tries all pending steps. Considering a target takes
+// about 50 ns, so passes take at most a tenth of the processor.
 const passPausePerTarget = 500 * time.Nanosecond
 
-// pass is what is worked out once for all steps of a pass.
+// pass caches what all steps of a scheduling pass share.
 type pass struct {
-	victims map[*target][]victim // that may be stopped for work of priority 0
-	losses  map[*step]float64    // of gangs
-	wanted  map[string]int       // accelerators that accounts want for priority 0
-	// preemptibleCapacity is the room of targets if all that may be stopped there is.
+	victims map[*target][]victim // runs that may be stopped for work of priority 0
+	losses  map[*step]float64    // losses of gangs if they are stopped
+	wanted  map[string]int       // accelerators wanted for jobs of priority 0, by account
+	// preemptibleCapacity is the capacity of targets that is free if all preemptible runs stop.
 	preemptibleCapacity map[*target]graph.Resources
-	unplaceable         []unplaceable // gangs that found no room as it is
+	unplaceable         []unplaceable // gangs that do not fit without preemption
 }
 
-// invalidate forgets what was worked out of a target.
+// invalidate drops the cached values of a target.
 func (p *pass) invalidate(t *target) {
 	delete(p.victims, t)
 	delete(p.preemptibleCapacity, t)
@@ -83,8 +84,8 @@
 	m.countBacklog(now)
 }
 
-// placeNewSteps places steps that came up since the last pass, so that urgent work
-// need not wait for the next one.
+// placeNewSteps places the steps of priority 0 that were opened since the last pass, so
+// that urgent work does not wait for the next pass.
 func (m *Machine) placeNewSteps(now time.Time) {
 	steps := m.newSteps
 	m.newSteps = nil
@@ -99,7 +100,7 @@
 	}
 }
 
-// schedule gives the open steps targets, the most urgent first.
+// schedule places the open steps, the most urgent first.
 func (m *Machine) schedule(now time.Time) {
 	m.newPass(now)
 	m.newSteps = nil
@@ -111,7 +112,7 @@
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.releaseTime(), b.releaseTime()))
 	})
 	m.reserved = nil
-	startsPending := false // for starts that are on their way
+	startsPending := false // a step waits until pending starts are answered
 	remaining := m.openSteps[:0]
 	for _, s := range m.openSteps {
 		if s.done || s.job.finished() {
@@ -143,23 +144,24 @@
 	}
 }
 
-// expireUnstarted ends a job that was to have started by now and has not.
+// expireUnstarted ends a job whose latest start time has passed before it started, and
+// reports whether it did.
 func (m *Machine) expireUnstarted(j *job, nowMS int64) bool {
 	if j.spec.StartBy == 0 || nowMS < j.spec.StartBy || j.started || len(j.liveRuns) > 0 {
 		return false
 	}
-	m.log.Decided("job given up before it started", "job", j.spec.ID, "startBy", j.spec.StartBy)
+	m.log.Decided("job expired before it started", "job", j.spec.ID, "startBy", j.spec.StartBy)
 	j.state, j.endedAt = progress.NotRun, nowMS
 	m.markDirty(j)
 	return true
 }
 
-// reportWait is how long a new leader waits for the first reports of all targets
-// before it places anything: most come within a few round trips, and what is
-// placed on the first few is placed badly.
+// reportWait is how long a new leader waits for the first reports of all targets before
+// it places anything. Most reports arrive within a few round trips, and placement on the
+// first few targets alone would be poor.
 const reportWait = 150 * time.Millisecond
 
-// awaitingReports reports whether the first reports are still awaited.
+// awaitingReports reports whether first reports are outstanding and reportWait is not over.
 func (m *Machine) awaitingReports(now time.Time) bool {
 	if now.Sub(m.placementEnabledAt) >= reportWait {
 		return false
@@ -167,18 +169,18 @@
 	return slices.ContainsFunc(m.sortedTargets, func(t *target) bool { return t.listed && t.reach == notPolled })
 }
 
-// lateFactor is how many times the objective a job may take and still earn: the
+// lateFactor is the multiple of its objective within which a job still earns value, by the
 // users' rule for late jobs.
 const lateFactor = 3
 
-// worthlessRank puts steps of jobs that cannot earn any more behind all others:
-// they are still finished.
+// worthlessRank ranks steps of jobs that can earn no value any more behind all others.
+// They are still completed.
 const worthlessRank = math.MaxInt64 / 2
 
-// rankAt orders steps: urgent ones of priority 0 first, then by the next moment
-// at which a start comes too late for something: the objective, or the last
-// moment at which the job still earns. A job whose objective has passed so makes
-// way for those that can still meet theirs.
+// rankAt returns the rank of a step, lowest first: steps of priority 0 by the latest start
+// that meets their objective, then the others by the same or, once it has passed, by the
+// latest start that still earns value. A job that has missed its objective thus yields to
+// those that can still meet theirs.
 func (s *step) rankAt(nowMS int64) int64 {
 	latest, last := s.latestStartForObjective(), s.latestStartForValue()
 	switch {
@@ -192,18 +194,19 @@
 	return latest
 }
 
-// latestStartForObjective returns the latest start that meets the objective of the step's
-// job, in milliseconds since 1970.
+// latestStartForObjective returns the latest start of the step that meets the objective of
+// its job, in milliseconds since 1970.
 func (s *step) latestStartForObjective() int64 {
 	return s.releaseTime() + s.job.objective.Milliseconds() - s.criticalPath.Milliseconds()
 }
 
-// latestStartForValue returns the latest start after which the job still earns.
+// latestStartForValue returns the latest start of the step with which its job still earns
+// value, in milliseconds since 1970.
 func (s *step) latestStartForValue() int64 {
 	return s.releaseTime() + lateFactor*s.job.objective.Milliseconds() - s.criticalPath.Milliseconds()
 }
 
-// placeStep places what it can of a step and reports whether something is left
+// placeStep places as many tasks of a step as possible and reports whether some are left
 // to place.
 func (m *Machine) placeStep(s *step, now time.Time) bool {
 	if s.spec.Gang {
