--- a/internal/work/dispatch/gang.go
+++ b/internal/work/dispatch/gang.go
@@ -9,8 +9,8 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// placeGang places a gang whole, or not at all. It reports whether the step must
-// be looked at again.
+// placeGang places all tasks of a gang or none. It returns true, since the step stays open
+// until its tasks are done.
 func (m *Machine) placeGang(s *step, now time.Time) bool {
 	for _, x := range s.tasks {
 		if len(x.runs) > 0 {
@@ -34,15 +34,15 @@
 	return true
 }
 
-// targetSet is a set of targets that could hold a gang.
+// targetSet is a set of candidate targets for a gang.
 type targetSet struct {
 	targets   []*target
-	slowdowns int // how often the gang runs slower there by the far factor: 0 to 2
+	slowdowns int // how many times Bounds.RemoteSlowdown applies to the gang there: 0 to 2
 }
 
 // targetSets returns the sets of targets that could hold the whole gang if they were
-// empty, those first on which it runs fastest. A gang that wants one rack still
-// may run over several, and one whose data is on a rack on another, only slower.
+// empty, the fastest ones for the gang first. A gang that wants one rack may run on
+// several, and one whose data is on a rack may run on another, but slower.
 func (m *Machine) targetSets(s *step, now time.Time) []targetSet {
 	m.targetsConsidered += len(m.sortedTargets)
 	var all []*target
@@ -77,7 +77,7 @@
 	return list
 }
 
-// racksInOrder returns the targets by rack. Those of no rack are one.
+// racksInOrder returns the targets grouped by rack. Those without a rack form one group.
 func (m *Machine) racksInOrder() [][]*target {
 	if m.racks != nil {
 		return m.racks
@@ -93,7 +93,7 @@
 	return m.racks
 }
 
-// canFit reports whether empty targets could hold the gang.
+// canFit reports whether the targets could hold the gang if they were empty.
 func (s *step) canFit(targets []*target) bool {
 	charge, n := s.spec.Charge(), 0
 	for _, t := range targets {
@@ -102,7 +102,7 @@
 	return n >= len(s.tasks)
 }
 
-// tasksThatFit returns how many tasks fit into room.
+// tasksThatFit returns how many tasks of a charge fit into free capacity.
 func tasksThatFit(charge, free graph.Resources) int {
 	n := maxTasksPerTarget
 	if charge.CPU > 0 {
@@ -117,15 +117,14 @@
 	return max(n, 0)
 }
 
-// maxTasksPerTarget bounds how many tasks without needs are thought to fit a
-// target.
+// maxTasksPerTarget bounds how many tasks are taken to fit a target if they need nothing.
 const maxTasksPerTarget = 1024
 
-// planGang returns a target for each task of a gang, or nil. Sets on which it
-// runs equally fast are tried together: first as they are, then with room cleared
-// for it. A gang on a slower set would hold its accelerators for as many times
-// longer, which costs others more than its own wait: so it takes one only if it
-// must begin now, or if nothing can be earned any more by waiting.
+// planGang returns a target for each task of a gang, or nil. Sets on which the gang runs
+// equally fast are tried together, first without and then with preemption. On a slower
+// set, the gang would hold its accelerators longer by the slowdown, which costs others
+// more than the gang's wait. It therefore takes a slower set only if it must begin now,
+// or if waiting cannot earn any value any more.
 func (m *Machine) planGang(s *step, now time.Time) []*target {
 	slower := m.guaranteeDue(s, now) || m.wallMS(now) > s.latestStartForValue()
 	unplaceable, preempt := m.pass.isUnplaceable(s, slower), m.mayPreempt(s, now)
@@ -157,9 +156,9 @@
 	return nil
 }
 
-// planOnSets plans a gang on one of the sets: the one that is left with the least
-// room or, if none has room and some may be cleared, the one that is cleared at the
-// least cost. full tells that none has room.
+// planOnSets plans a gang on the set that is left with the fewest free accelerators. If
+// the gang fits none, or unplaceable says so, and preemption is allowed, it plans on the
+// set with the least cost of preemption.
 func (m *Machine) planOnSets(s *step, sets []targetSet, unplaceable, preempt bool, now time.Time) []*target {
 	var best []*target
 	bestLeft := 0
@@ -177,34 +176,35 @@
 	return best
 }
 
-// Times between two looks for room to clear for a step: a burst of urgent gangs would
-// otherwise take the whole processor of a host with many targets.
+// Pauses between two searches for work to preempt for a step. Without them, a burst of
+// urgent gangs takes the whole processor of a host with many targets.
 const (
-	preemptionPausePerTarget = 50 * time.Microsecond  // for each target that was considered
-	maxPreemptionPause       = 200 * time.Millisecond // at most, in which what runs changes little
+	preemptionPausePerTarget = 50 * time.Microsecond  // for each target considered
+	maxPreemptionPause       = 200 * time.Millisecond // upper limit; the runs change little in that time
 )
 
-// mayPreempt reports whether room may be cleared for a step now.
+// mayPreempt reports whether work may be preempted for a step now.
 func (m *Machine) mayPreempt(s *step, now time.Time) bool {
 	return s.job.spec.Priority == 0 && (!now.Before(s.nextPreemptionAt) || m.guaranteeDue(s, now))
 }
 
-// unplaceable is a gang that found no room in this pass, nor will one that asks for more.
+// unplaceable is a gang that did not fit in this pass. A gang that needs more does not fit
+// either.
 type unplaceable struct {
 	step   *step
-	slower bool // sets were tried on which it runs slower
+	slower bool // slower sets were tried, too
 }
 
-// recordUnplaceable notes that a gang found no room, unless it was kept from targets that
-// others may use.
+// recordUnplaceable records that a gang did not fit, unless it is excluded from targets
+// that others may use.
 func (p *pass) recordUnplaceable(s *step, slower bool) {
 	if len(s.gangAttempts.avoidedTargets) == 0 && s.spec.PerTarget == 0 {
 		p.unplaceable = append(p.unplaceable, unplaceable{s, slower})
 	}
 }
 
-// isUnplaceable reports whether a gang that asks for no more than this one found no room
-// in this pass. Room only shrinks within one: what is stopped ends later.
+// isUnplaceable reports whether a gang that needs no more than this one did not fit in this
+// pass. Free capacity only shrinks within a pass, since runs that are stopped end later.
 func (p *pass) isUnplaceable(s *step, slower bool) bool {
 	for _, n := range p.unplaceable {
 		o := n.step
@@ -216,8 +216,9 @@
 	return false
 }
 
-// fill puts a gang's tasks on the targets of a set, each where it fits best, and
-// returns how many accelerators of the set are left free then.
+// fill returns a plan that puts each task of a gang on the best fitting target of a set,
+// and how many accelerators of the set the plan leaves free. The plan is nil if the gang
+// does not fit.
 func (m *Machine) fill(s *step, targets []*target, now time.Time) (plan []*target, left int) {
 	charge := s.spec.Charge()
 	free := make([]graph.Resources, len(targets))
@@ -253,16 +254,16 @@
 	return plan, left - len(plan)*charge.Accelerators
 }
 
-// recordIfFits records runs that were just placed if the room for all of them is
-// free now; else they wait for it.
+// recordIfFits records runs that were just placed if there is free capacity for all of
+// them. Otherwise they await capacity.
 func (m *Machine) recordIfFits(runs []*run) {
 	if allFit(runs) {
 		m.record(runs)
 	}
 }
 
-// allFit reports whether what may exist on the runs' targets leaves room
-// for all of them.
+// allFit reports whether the runs fit on their targets beside all runs that hold capacity
+// there.
 func allFit(runs []*run) bool {
 	need := map[*target]graph.Resources{}
 	for _, r := range runs {
@@ -276,8 +277,8 @@
 	return true
 }
 
-// recordWaiting records runs whose room has become free, and gives up those whose
-// target takes no work any more.
+// recordWaiting records waiting runs for which there is free capacity now, and releases
+// those whose target accepts no work any more.
 func (m *Machine) recordWaiting(now time.Time) {
 	if !m.recheckWaiting {
 		return
@@ -296,11 +297,11 @@
 	}
 }
 
-// isWaiting reports whether a run still waits for capacity.
+// isWaiting reports whether a run still awaits capacity.
 func (r *run) isWaiting() bool { return r.phase == awaitingCapacity && r.target.runs[r.Run] == r }
 
-// waitingGroups returns the runs that wait for room: gangs together, others
-// alone, in the order in which they were placed.
+// waitingGroups returns the runs that await capacity, in the order of placement: those of
+// a gang as one group, each other run as its own.
 func (m *Machine) waitingGroups() [][]*run {
 	m.waitingRuns = slices.DeleteFunc(m.waitingRuns, func(r *run) bool { return !r.isWaiting() })
 	var groups [][]*run
--- a/internal/work/dispatch/preemption.go
+++ b/internal/work/dispatch/preemption.go
@@ -9,9 +9,9 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// preemptFor makes room for a task of priority 0 by stopping work of lower
-// priority on one target, at the least cost, and returns that target; nil if
-// none can be cleared.
+// preemptFor preempts work of lower priority for a task of priority 0 on the target where
+// that costs least, and returns the target. It returns nil if preemption frees enough on
+// no target, or if the cost is not allowed yet; then the target is reserved.
 func (m *Machine) preemptFor(x *task, now time.Time) *target {
 	s := x.step
 	plan := m.newPreemptionPlan(s, now)
@@ -38,8 +38,8 @@
 	return best
 }
 
-// reserve keeps targets free of less urgent work, for a step that waits for
-// room there: else each bit that comes free would go to tasks that need less.
+// reserve keeps less urgent work off targets on which a step awaits capacity. Otherwise
+// tasks that need less would take each bit of capacity that is freed.
 func (m *Machine) reserve(s *step, targets []*target) {
 	if m.reserved == nil {
 		m.reserved = map[*target]map[*step]bool{}
@@ -52,9 +52,9 @@
 	}
 }
 
-// preemptForGang makes room for a gang on one of the sets, at the least cost, and
-// returns a target for each of its tasks; nil if none can be cleared, or only at
-// a cost that is not allowed yet.
+// preemptForGang preempts work for a gang on the set where that costs least, and returns a
+// target for each of its tasks. It returns nil if preemption frees enough on no set, or if
+// the cost is not allowed yet; then the planned targets are reserved.
 func (m *Machine) preemptForGang(s *step, sets []targetSet, now time.Time) []*target {
 	var best *preemptionPlan
 	for _, set := range sets {
@@ -82,29 +82,30 @@
 // victim is a run that may be stopped for work of priority 0.
 type victim struct {
 	run  *run
-	loss float64 // core-seconds thrown away; of a gang's member, what the gang loses
+	loss float64 // lost work in core-seconds; of a gang's member, the loss of the whole gang
 }
 
-// preemptionPlan is a plan to stop runs for the tasks of a step.
+// preemptionPlan is a plan to preempt runs for the tasks of a step.
 type preemptionPlan struct {
 	m       *Machine
 	step    *step
 	now     time.Time
 	charge  graph.Resources
-	freeOn  map[*target]graph.Resources // free if the victims are gone, less what is planned
-	planned map[*target]int
+	freeOn  map[*target]graph.Resources // free capacity once the victims have ended, minus the planned tasks
+	planned map[*target]int             // number of planned tasks
 	victims map[*run]bool
-	targets []*target
-	cost    float64 // of all victims
-	maxCost float64 // a plan is of no use whose cost reaches it
+	targets []*target // one for each planned task
+	cost    float64   // of all victims
+	maxCost float64   // planning stops when cost reaches it
 }
 
 func (m *Machine) newPreemptionPlan(s *step, now time.Time) *preemptionPlan {
 	return &preemptionPlan{m: m, step: s, now: now, charge: s.spec.Charge(), maxCost: math.Inf(1)}
 }
 
-// fillSet plans all tasks of the step on a set, each where it costs least. It gives up
-// as soon as that costs too much: most sets are no better than the best so far.
+// fillSet plans all tasks of the step on a set, each where it costs least, and reports
+// whether it succeeded. It stops as soon as the cost reaches maxCost, since most sets are
+// no better than the best so far.
 func (p *preemptionPlan) fillSet(set []*target) bool {
 	if !p.canFit(set) {
 		return false
@@ -136,7 +137,7 @@
 	return true
 }
 
-// canFit reports whether the tasks fit if all that may be stopped is.
+// canFit reports whether the tasks fit on a set if all preemptible runs there stop.
 func (p *preemptionPlan) canFit(set []*target) bool {
 	n := 0
 	for _, t := range set {
@@ -149,7 +150,8 @@
 	return n >= len(p.step.tasks)
 }
 
-// preemptibleCapacity returns the room on a target if all that may be stopped there is.
+// preemptibleCapacity returns the free capacity of a target if all preemptible runs there
+// stop.
 func (m *Machine) preemptibleCapacity(t *target, now time.Time) graph.Resources {
 	if capacity, ok := m.pass.preemptibleCapacity[t]; ok {
 		return capacity
@@ -162,8 +164,8 @@
 	return free
 }
 
-// freeAfterStops returns the room on a target once the runs that are being stopped
-// there have ended.
+// freeAfterStops returns the free capacity of the target once its stopping runs have
+// ended.
 func (t *target) freeAfterStops() graph.Resources {
 	free := t.freeCapacity()
 	for _, r := range t.runs {
@@ -174,8 +176,8 @@
 	return free
 }
 
-// free returns the room on a target under the plan, once the runs that are
-// being stopped there have ended.
+// free returns the free capacity of a target under the plan, once its stopping runs have
+// ended.
 func (p *preemptionPlan) free(t *target) graph.Resources {
 	if r, ok := p.freeOn[t]; ok {
 		return r
@@ -183,15 +185,15 @@
 	return t.freeAfterStops()
 }
 
-// preemptionOption is what one more task on a target would cost.
+// preemptionOption is a way to fit one more task on a target.
 type preemptionOption struct {
-	victims []victim // to stop
+	victims []victim // runs to stop
 	cost    float64
-	ok      bool // it can be had
+	ok      bool // the task can fit
 }
 
-// optionOn returns the runs to stop on a target so that one more task fits: the
-// cheapest first, without those that turn out not to be needed.
+// optionOn returns the runs to stop on a target so that one more task fits. It takes the
+// cheapest runs until the task fits, and drops those that are not needed.
 func (p *preemptionPlan) optionOn(t *target) preemptionOption {
 	p.m.targetsConsidered++
 	if p.step.perTargetLeft(t)-p.planned[t] <= 0 {
@@ -215,7 +217,7 @@
 	return preemptionOption{}
 }
 
-// prune drops victims that are not needed, the dearest first.
+// prune drops victims that are not needed, the most costly first.
 func (p *preemptionPlan) prune(list []victim, free graph.Resources) preemptionOption {
 	o := preemptionOption{ok: true}
 	for i := len(list) - 1; i >= 0; i-- {
@@ -229,8 +231,8 @@
 	return o
 }
 
-// victimsOn returns the runs that may be stopped on a target for work of priority
-// 0, the cheapest first.
+// victimsOn returns the runs on a target that may be stopped for work of priority 0, the
+// cheapest first.
 func (m *Machine) victimsOn(t *target, now time.Time) []victim {
 	if list, ok := m.pass.victims[t]; ok {
 		return list
@@ -248,10 +250,10 @@
 	return list
 }
 
-// addTask plans one more task on a target. It reports whether a gang is stopped for
-// it, which makes room elsewhere, too.
+// addTask plans one more task on a target. It reports whether that stops a gang, which
+// frees capacity on other targets, too.
 func (p *preemptionPlan) addTask(t *target, o preemptionOption) (stopsGang bool) {
-	if p.freeOn == nil { // most plans end before anything is taken
+	if p.freeOn == nil { // allocated here since most plans end before the first task
 		p.freeOn, p.planned, p.victims = map[*target]graph.Resources{}, map[*target]int{}, map[*run]bool{}
 	}
 	free := p.free(t)
@@ -269,8 +271,8 @@
 	return stopsGang
 }
 
-// addGangMembers counts the other members of a victim's gang as free, too: they end
-// with it.
+// addGangMembers adds the other members of a victim's gang to the victims, since they end
+// with it. It reports whether the victim is in a gang.
 func (p *preemptionPlan) addGangMembers(r *run) bool {
 	s := r.task.step
 	if !s.spec.Gang {
@@ -296,28 +298,28 @@
 	}
 	slices.SortFunc(list, compareRuns)
 	size := coreEquivalents(plan.step.spec.Needs) * plan.step.spec.Estimate.Seconds() * float64(len(plan.targets))
-	m.log.Decided("room cleared", "step", plan.step.id, "runs", len(list), "lossCoreS", int(plan.cost), "gainCoreS", int(size), "waitedMS", m.wallMS(now)-plan.step.releaseTime())
+	m.log.Decided("runs preempted", "step", plan.step.id, "runs", len(list), "lossCoreS", int(plan.cost), "gainCoreS", int(size), "waitedMS", m.wallMS(now)-plan.step.releaseTime())
 	for _, r := range list {
-		m.stop(r, "room for "+plan.step.id.String(), now)
-		m.pass.invalidate(r.target) // it cannot be stopped again in this pass
+		m.stop(r, "preempted for "+plan.step.id.String(), now)
+		m.pass.invalidate(r.target) // its runs cannot be stopped again in this pass
 	}
 }
 
-// acceleratorCores is the number of cores that an accelerator counts for when
-// work is weighed: the price list of the platform says so.
+// acceleratorCores is the number of cores that an accelerator counts for when work is
+// compared, by the platform's price list.
 const acceleratorCores = 8
 
-// coreEquivalents returns what a task takes in cores, accelerators counted in.
+// coreEquivalents returns the needs of a task in cores, accelerators included.
 func coreEquivalents(r graph.Resources) float64 {
 	return float64(r.CPU)/1000 + acceleratorCores*float64(r.Accelerators)
 }
 
-// restartLoss is what a stop costs beside the lost work, in seconds of the run:
-// stopping, starting again and resuming.
+// restartLoss is the cost of a stop besides the lost work, in seconds of the run. It
+// covers stopping, starting again and resuming.
 const restartLoss = 0.5
 
-// lossOf returns what stopping a run throws away, in core-seconds; of a gang's
-// member, what the whole gang loses.
+// lossOf returns the loss from stopping a run, in core-seconds. For a gang's member, it is
+// the loss of the whole gang.
 func (m *Machine) lossOf(r *run, now time.Time) float64 {
 	s := r.task.step
 	if !s.spec.Gang {
@@ -336,8 +338,8 @@
 	return loss
 }
 
-// unsavedSeconds returns how many seconds of work a stop would throw away. A
-// checkpointing run saves at a stop.
+// unsavedSeconds returns how many seconds of work a stop would lose. A checkpointing run
+// loses none, since it saves a checkpoint when it is stopped.
 func unsavedSeconds(r *run, now time.Time) float64 {
 	if r.beganAt.IsZero() || r.task.step.spec.Checkpointing {
 		return 0
