--- a/internal/work/dispatch/fit_test.go
+++ b/internal/work/dispatch/fit_test.go
@@ -9,10 +9,9 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// Large tasks with one accelerator each take 26 of a target's 64 cores. Two on
-// one target leave 12 cores for six accelerators, so four could not be used:
-// they are spread, one to a target, and small tasks use what is left beside
-// them.
+// Large tasks with one accelerator each take 26 of a target's 64 cores. Two on one target
+// would leave 12 cores for six accelerators, so that four could not be used. They are
+// spread, one per target, and small tasks use the capacity beside them.
 func TestLargeTasksAreSpread(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 8, DefaultBounds())
@@ -33,13 +32,13 @@
 	is.Equal(maxLarge, 1)
 	d.submit(2, 6*time.Second, small(48))
 	d.run(100 * time.Millisecond)
-	is.True(d.m.Counts().Runs >= 52) // nearly all accelerators work
+	is.True(d.m.Counts().Runs >= 52) // nearly all accelerators are in use
 	d.run(20 * time.Second)
 	d.check()
 }
 
-// Small tasks fill targets on which something runs before they break into an
-// empty one, so whole targets stay free for gangs of large ones.
+// Small tasks fill targets that have runs before empty ones, so that whole targets stay
+// free for gangs of large tasks.
 func TestSmallTasksArePackedOnUsedTargets(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 2, 4, DefaultBounds())
@@ -58,8 +57,7 @@
 	d.check()
 }
 
-// A gang that wants one rack and is larger than any runs over two, slower,
-// rather than never.
+// A gang that wants one rack but is larger than any rack runs on two, though slower.
 func TestGangLargerThanARack(t *testing.T) {
 	d := newSimulation(t, 2, 2, DefaultBounds())
 	d.submit(1, 2*time.Second, largeGang(4, 8))
@@ -67,8 +65,7 @@
 	d.check()
 }
 
-// A task whose data is on a rack that is full runs elsewhere; one whose rack has
-// room runs there.
+// A task runs on the rack that holds its data if that has free capacity.
 func TestDataRack(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 2, 2, DefaultBounds())
@@ -85,7 +82,8 @@
 	d.check()
 }
 
-// Tasks of a step that are to be apart are, also while they are started again.
+// A target never has more tasks of a step than its limit per target, also while tasks are
+// restarted.
 func TestPerTargetLimit(t *testing.T) {
 	d := newSimulation(t, 1, 4, DefaultBounds())
 	s := small(8)
--- a/internal/work/dispatch/gang_test.go
+++ b/internal/work/dispatch/gang_test.go
@@ -9,8 +9,8 @@
 	"guavaglade.example/guavaglade/internal/proof/seeded"
 )
 
-// A gang is not tried in a pass in which one that asks for no more found no room. Tried
-// all the same, it finds none either: whatever runs, and whatever else is placed.
+// A pass skips a gang if one that needs no more did not fit in the same pass. The skipped
+// gang would not have fitted either, whatever runs and whatever else was placed.
 func TestUnplaceableGangRulesOutLargerGangs(t *testing.T) {
 	seeded.Check(t, func(rt *rapid.T) {
 		d := newSimulation(t, rapid.IntRange(1, 3).Draw(rt, "racks"), 8, DefaultBounds())
@@ -38,8 +38,8 @@
 	})
 }
 
-// Urgent gangs wait, and nothing may be stopped for them yet. The leader looks for room
-// to clear a few times a second, not each time that anything happens.
+// An urgent gang is pending, and nothing may be preempted for it yet. The leader searches
+// for work to preempt a few times a second, not at each decision.
 func TestPreemptionSearchIsRateLimited(t *testing.T) {
 	d := newSimulation(t, 100, 8, DefaultBounds())
 	for n := range 100 {
--- a/internal/work/dispatch/load_test.go
+++ b/internal/work/dispatch/load_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// workload hands in jobs of three sorts at random, as the users' request sheets
-// describe them: large gangs, urgent gangs and wide steps of small tasks.
+// workload submits random jobs of three kinds, as the users' request sheets describe them:
+// large gangs, urgent gangs and wide steps of small tasks.
 type workload struct {
 	*simulation
 	rnd         *rand.Rand
-	rate        float64 // jobs a second of all sorts
-	widthFactor float64 // how much wider than today's steps are
+	rate        float64 // jobs per second, of all kinds
+	widthFactor float64 // width of steps relative to today's
 }
 
-// gangAccelerators are what tasks of gangs ask for.
+// gangAccelerators are the numbers of accelerators that members of gangs need.
 var gangAccelerators = []int{1, 2, 4, 8, 8}
 
-// submitNext hands one job in.
+// submitNext submits one random job.
 func (s *workload) submitNext() {
 	width := func(mean float64) int { return max(1, int(s.rnd.ExpFloat64()*mean*s.widthFactor)) }
 	around := func(d time.Duration) time.Duration {
@@ -42,7 +42,7 @@
 	}
 }
 
-// runWithLoad lets time pass while jobs come in.
+// runWithLoad runs the simulation for some time while jobs are submitted.
 func (s *workload) runWithLoad(span time.Duration) {
 	for until := s.now.Add(span); s.now.Before(until); {
 		s.run(max(simulationStep, time.Duration(s.rnd.ExpFloat64()/s.rate*float64(time.Second))))
@@ -50,8 +50,8 @@
 	}
 }
 
-// shareInTime returns the share of the jobs handed in before a time that have ended
-// within so many times their estimate.
+// shareInTime returns the share of the jobs of a priority submitted before a time that have
+// ended within a multiple of their estimate.
 func (s *workload) shareInTime(priority int, within float64, before time.Time) float64 {
 	n, good := 0, 0
 	for id, submittedAt := range s.submittedAt {
@@ -70,8 +70,8 @@
 	return float64(good) / float64(n)
 }
 
-// BenchmarkDecide sweeps sizes of deployments and measures what a second of the
-// machine's time costs, with the stand-in targets.
+// BenchmarkDecide measures one simulated second of a machine with the stand-in targets, for
+// several sizes of deployments.
 func BenchmarkDecide(b *testing.B) {
 	for _, x := range []struct {
 		name              string
@@ -94,8 +94,8 @@
 	}
 }
 
-// BenchmarkCrowdedPass sweeps sizes and measures one pass over 300 urgent gangs that
-// wait on targets full of work that is too dear to stop.
+// BenchmarkCrowdedPass measures one pass over 300 pending urgent gangs, for several numbers
+// of targets, all full of work that is too costly to preempt.
 func BenchmarkCrowdedPass(b *testing.B) {
 	for _, racks := range []int{6, 44, 138} {
 		b.Run(strconv.Itoa(racks*8), func(b *testing.B) {
--- a/internal/work/dispatch/preemption_test.go
+++ b/internal/work/dispatch/preemption_test.go
@@ -10,8 +10,8 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// An urgent gang arrives while small tasks fill its rack. It is in time only if
-// their room is cleared; they are run again and all ends well.
+// An urgent gang arrives while small tasks fill its rack. It meets its objective only if it
+// preempts some of them. Those run again, and all jobs end.
 func TestUrgentGangPreempts(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 4, DefaultBounds())
@@ -25,8 +25,8 @@
 	d.check()
 }
 
-// An urgent job of one small task arrives while a large gang fills the fleet and
-// would lose far more work than the job is worth. It waits; the gang goes on.
+// An urgent job of one small task arrives while a large gang fills the fleet. Preempting the
+// gang would lose far more work than the job is worth, so the job waits and the gang goes on.
 func TestCostlyPreemptionIsAvoided(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 4, DefaultBounds())
@@ -39,8 +39,8 @@
 	d.check()
 }
 
-// The same urgent job, where its account is guaranteed an accelerator: it begins
-// in time whatever the gang loses.
+// The same urgent job, but its account is guaranteed accelerators: it begins within
+// ReclaimTime, whatever the gang loses.
 func TestGuaranteedWorkPreemptsAtAnyCost(t *testing.T) {
 	is := is.New(t)
 	b := DefaultBounds()
@@ -55,9 +55,9 @@
 	d.check()
 }
 
-// Room is cleared for an urgent gang, and the polls that would tell that the
-// stopped tasks have ended are lost. An extra poll of each target finds it: the gang waits
-// for some tenths of a second and not for the polls' time-out.
+// Tasks are preempted for an urgent gang, and the polls that would list their ends are lost.
+// An extra poll of each target lists them, so the gang waits some tenths of a second and not
+// until the polls time out.
 func TestPreemptedCapacityIsFoundThoughPollsAreLost(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 4, DefaultBounds())
@@ -67,7 +67,7 @@
 		poll, ok := c.(Poll)
 		return ok && !poll.Extra
 	}
-	d.run(1500 * time.Millisecond) // the polls that were answered are asked again, and lost
+	d.run(1500 * time.Millisecond) // the answered polls are followed by new ones, which are lost
 	id := d.submit(0, 2500*time.Millisecond, urgentGang(2, 8))
 	d.run(1500 * time.Millisecond)
 	is.Equal(d.state(id), progress.Running)
@@ -76,9 +76,8 @@
 	d.check()
 }
 
-// Two urgent gangs wait for room that must not be cleared yet. Targets are held
-// back for them, so small tasks that arrive later do not take each bit that comes
-// free.
+// An urgent gang waits for capacity that it may not preempt yet. Targets are reserved for
+// it, so that small tasks that arrive later do not take the capacity that is freed.
 func TestTargetsAreReserved(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
--- a/internal/work/dispatch/simulation_test.go
+++ b/internal/work/dispatch/simulation_test.go
@@ -13,14 +13,14 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// Times of the driver: those of today's deployments.
+// Times of the simulation, as in today's deployments.
 const (
 	simulationStep = 10 * time.Millisecond
 	oneWay         = time.Millisecond
 	saveTime       = 12 * time.Millisecond
 )
 
-// simulation runs a machine against the stand-in targets, step by step.
+// simulation runs a machine against the stand-in targets in simulated time.
 type simulation struct {
 	t                 testing.TB
 	m                 *Machine
@@ -28,24 +28,25 @@
 	now               time.Time
 	events            []event
 	version           int64
-	dropCommand       func(c Command) bool // commands that are lost without an answer; nil: none
-	dropAnswer        func(c Command) bool // orders that are carried out without an answer; nil: none
+	dropCommand       func(c Command) bool // selects commands that are lost without an answer; nil: none
+	dropAnswer        func(c Command) bool // selects orders that are executed but whose answer is lost; nil: none
 	log               []string
-	decisionScheduled bool // a decision is on the agenda
-	// slowSaveTime is what a save takes if that is longer than saveTime.
+	decisionScheduled bool // events has one for the next decision
+	// slowSaveTime is the duration of a save if it is longer than saveTime.
 	slowSaveTime time.Duration
-	endedAt      map[graph.JobID]time.Time // when jobs were shown as ended
+	endedAt      map[graph.JobID]time.Time // when jobs were published as ended
 	submittedAt  map[graph.JobID]time.Time
 	nextID       int
 }
 
+// event is an action at a simulated time.
 type event struct {
 	at time.Time
 	do func()
 }
 
-// newSimulation returns a machine in its first term over racks of targets with eight
-// accelerators each.
+// newSimulation returns a simulation of a machine in term 1 with racks of targets that have
+// eight accelerators each. The machine has their first reports.
 func newSimulation(t testing.TB, racks, perRack int, b Bounds) *simulation {
 	d := &simulation{
 		t: t, p: pool.New(pool.DefaultBounds()), now: time.Unix(1000, 0),
@@ -68,13 +69,13 @@
 	return d
 }
 
-// listTargets has the machine read the list of targets.
+// listTargets passes the current list of targets to the machine.
 func (d *simulation) listTargets() {
 	d.m.UpdateTargets(d.p.Roster(), d.now, d.now)
 	d.decide()
 }
 
-// runWithListing lets seconds pass, with a list at the end of each.
+// runWithListing runs the simulation for some seconds and lists the targets after each.
 func (d *simulation) runWithListing(seconds int) {
 	for range seconds {
 		d.run(time.Second)
@@ -87,6 +88,7 @@
 	d.log = append(d.log, fmt.Sprintf("%7.3f %s %v", d.now.Sub(time.Unix(1000, 0)).Seconds(), what, kv))
 }
 
+// after schedules an event.
 func (d *simulation) after(wait time.Duration, f func()) {
 	e := event{at: d.now.Add(wait), do: f}
 	at, _ := slices.BinarySearchFunc(d.events, e, func(a, b event) int {
@@ -98,7 +100,7 @@
 	d.events = slices.Insert(d.events, at, e)
 }
 
-// run lets time pass.
+// run runs the simulation for some time.
 func (d *simulation) run(span time.Duration) {
 	until := d.now.Add(span)
 	for d.now.Before(until) {
@@ -168,8 +170,8 @@
 	}
 }
 
-// deliver carries an order out and tells the machine the answer, or after a while
-// that there was none.
+// deliver executes an order and passes its answer to the machine. If the order is lost, it
+// passes ErrUnanswered after a while.
 func (d *simulation) deliver(lost bool, do func() (int64, error), answer func(clock int64, err error)) {
 	if lost {
 		d.after(350*time.Millisecond, func() { answer(0, order.ErrUnanswered) })
@@ -181,7 +183,7 @@
 	})
 }
 
-// answerPoll answers a poll once there is an end to tell or its time is over.
+// answerPoll answers a poll once there is an end to list or its wait is over.
 func (d *simulation) answerPoll(c Poll, until time.Time) {
 	rep, err := d.p.Hold(c.Target, c.Order, d.now)
 	if err == nil && len(rep.Ended) == 0 && d.now.Before(until) {
@@ -197,7 +199,7 @@
 	})
 }
 
-// submit hands in a job whose tasks take so long.
+// submit submits a job whose tasks each take the given work.
 func (d *simulation) submit(priority int, work time.Duration, steps ...graph.Step) graph.JobID {
 	d.nextID++
 	j := &graph.Job{
@@ -214,8 +216,8 @@
 	return j.ID
 }
 
-// duration returns how long a job took until it was shown as ended, or 0 if it has
-// not ended.
+// duration returns the time from a job's submission until it was published as ended, or 0
+// if it has not ended.
 func (d *simulation) duration(id graph.JobID) time.Duration {
 	at, ok := d.endedAt[id]
 	if !ok {
@@ -224,7 +226,8 @@
 	return at.Sub(d.submittedAt[id])
 }
 
-// check fails the test for each breach, and for each job that has not ended.
+// check fails the test for each breach that the stand-in targets saw, and for each job that
+// has not ended.
 func (d *simulation) check() {
 	d.t.Helper()
 	for _, b := range d.p.Breaches() {
@@ -247,7 +250,7 @@
 	return s
 }
 
-// small returns a step of single tasks like those that fill the racks.
+// small returns a step of single tasks that need one accelerator each.
 func small(count int) graph.Step {
 	return graph.Step{Count: count, Needs: graph.Resources{CPU: 5600, MemoryMB: 29000, Accelerators: 1}, Estimate: 6 * time.Second}
 }
