--- a/internal/fleet/order/counted.go
+++ b/internal/fleet/order/instrumented.go
@@ -10,14 +10,14 @@
 	"guavaglade.example/guavaglade/internal/report/metrics"
 )
 
-// outcomes are the outcomes by which orders are counted.
+// outcomes maps the values of the outcome label to the errors they count.
 var outcomes = map[string]error{
 	"fenced": ErrFenced, "staleRun": ErrStaleRun, "late": ErrLate, "noRoom": ErrNoCapacity, "noTicket": ErrNoTicket, "invalid": ErrInvalid,
 	"unhealthy": ErrUnhealthy, "otherLife": ErrOtherIncarnation, "unreached": ErrUnreached, "unanswered": ErrUnanswered,
 }
 
-// Counted passes orders on to a line, counts them by outcome and times them.
-type Counted struct {
+// Instrumented is a Transport that counts orders by outcome and measures their latency.
+type Instrumented struct {
 	Transport
 	orders map[string]*orderMetrics
 }
@@ -28,9 +28,9 @@
 	latency tally.Histogram
 }
 
-// NewCounted returns a line that counts in the scope.
-func NewCounted(l Transport, scope tally.Scope) *Counted {
-	c := &Counted{Transport: l, orders: map[string]*orderMetrics{}}
+// NewInstrumented returns a transport that sends through the given one and reports to scope.
+func NewInstrumented(t Transport, scope tally.Scope) *Instrumented {
+	i := &Instrumented{Transport: t, orders: map[string]*orderMetrics{}}
 	for _, order := range []string{"start", "stop", "hold", "pace"} {
 		tagged := scope.Tagged(map[string]string{"order": order})
 		m := &orderMetrics{
@@ -40,12 +40,12 @@
 		for name := range outcomes {
 			m.failed[name] = tagged.Tagged(map[string]string{"outcome": name}).Counter("orders_total")
 		}
-		c.orders[order] = m
+		i.orders[order] = m
 	}
-	return c
+	return i
 }
 
-func (m *orderMetrics) note(began time.Time, err error) {
+func (m *orderMetrics) observe(began time.Time, err error) {
 	m.latency.RecordDuration(time.Since(began))
 	if err == nil {
 		m.ok.Inc(1)
@@ -59,34 +59,34 @@
 	}
 }
 
-// Start implements Line.
-func (c *Counted) Start(ctx context.Context, to Address, s Start) (int64, error) {
+// Start implements Transport.
+func (i *Instrumented) Start(ctx context.Context, to Address, s Start) (int64, error) {
 	began := time.Now()
-	clock, err := c.Transport.Start(ctx, to, s)
-	c.orders["start"].note(began, err)
+	clock, err := i.Transport.Start(ctx, to, s)
+	i.orders["start"].observe(began, err)
 	return clock, err
 }
 
-// Stop implements Line.
-func (c *Counted) Stop(ctx context.Context, to Address, r Run, term int64) (int64, error) {
+// Stop implements Transport.
+func (i *Instrumented) Stop(ctx context.Context, to Address, r Run, term int64) (int64, error) {
 	began := time.Now()
-	clock, err := c.Transport.Stop(ctx, to, r, term)
-	c.orders["stop"].note(began, err)
+	clock, err := i.Transport.Stop(ctx, to, r, term)
+	i.orders["stop"].observe(began, err)
 	return clock, err
 }
 
-// Hold implements Line.
-func (c *Counted) Hold(ctx context.Context, to Address, h Poll) (Report, error) {
+// Poll implements Transport.
+func (i *Instrumented) Poll(ctx context.Context, to Address, p Poll) (Report, error) {
 	began := time.Now()
-	rep, err := c.Transport.Poll(ctx, to, h)
-	c.orders["hold"].note(began, err)
+	rep, err := i.Transport.Poll(ctx, to, p)
+	i.orders["hold"].observe(began, err)
 	return rep, err
 }
 
-// Pace implements Line.
-func (c *Counted) Pace(ctx context.Context, to Address, r Run, percent int, term int64) (int64, error) {
+// Pace implements Transport.
+func (i *Instrumented) Pace(ctx context.Context, to Address, r Run, percent int, term int64) (int64, error) {
 	began := time.Now()
-	clock, err := c.Transport.Pace(ctx, to, r, percent, term)
-	c.orders["pace"].note(began, err)
+	clock, err := i.Transport.Pace(ctx, to, r, percent, term)
+	i.orders["pace"].observe(began, err)
 	return clock, err
 }
--- a/internal/host/api/views.go
+++ b/internal/host/api/views.go
@@ -48,13 +48,13 @@
 // story answers with a job and what the leader decided about it in its term.
 func (v Views) story(w http.ResponseWriter, r *http.Request, by entry.Caller) {
 	id := jobOf(r)
-	s, known, err := v.station.Views().Story(r.Context(), id)
+	s, known, err := v.station.Views().History(r.Context(), id)
 	switch {
 	case err != nil:
 		unavailable(w, err)
 	case !known:
 		v.storedStory(w, r, id, by)
-	case !by.May(s.Job.Account):
+	case !by.MayAccess(s.Job.Account):
 		notFound(w, id)
 	default:
 		reply(w, http.StatusOK, s)
--- /dev/null
+++ b/internal/host/dispatcher/execute.go
@@ -0,0 +1,304 @@
+package dispatcher
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"strings"
+	"time"
+
+	"guavaglade.example/guavaglade/internal/fleet/limiter"
+	"guavaglade.example/guavaglade/internal/fleet/order"
+	"guavaglade.example/guavaglade/internal/platform/store"
+	"guavaglade.example/guavaglade/internal/work/dispatch"
+	"guavaglade.example/guavaglade/internal/work/graph"
+)
+
+// errTermOver is returned for an order that was not sent because the term may have
+// ended.
+var errTermOver = fmt.Errorf("%w: the leader row was not renewed in time", order.ErrUnreached)
+
+// execute starts the execution of a command.
+func (l *leadership) execute(c dispatch.Command, _ time.Time) {
+	switch c := c.(type) {
+	case dispatch.Start:
+		l.spawnDetached(func() { l.start(c) })
+	case dispatch.Stop:
+		l.spawnDetached(func() { l.stop(c) })
+	case dispatch.Poll:
+		l.spawnDetached(func() { l.poll(c) })
+	case dispatch.Save:
+		l.spawn(func() { l.save(c) })
+	case dispatch.JobEnded:
+		l.onJobEnded(c)
+	case dispatch.Forget:
+		l.spawn(func() { l.forget(c) })
+	case dispatch.Pace:
+		l.spawnDetached(func() { l.pace(c) })
+	case dispatch.Advise:
+		l.spawn(func() { l.advise(c) })
+	}
+}
+
+// mayOrder reports whether orders may be sent at this moment. While the process was
+// suspended another host may have taken over: the clock is read just before each order,
+// and counts the time of the suspension.
+func (l *leadership) mayOrder() bool { return l.term.Valid(l.clock()) }
+
+// mayStartIn reports whether work may start in a zone at this moment. The zone may have
+// been evacuated while a start waited in the limiter.
+func (l *leadership) mayStartIn(zone string) bool {
+	if l.evacuations == nil {
+		return true
+	}
+	status := l.evacuations()
+	age := l.clock().Sub(status.AsOf)
+	return !status.Has(zone) && (l.bounds.MaxEvacuationAge == 0 || age <= l.bounds.MaxEvacuationAge)
+}
+
+func (l *leadership) start(c dispatch.Start) {
+	clock, err := l.send(c.Class, 0, func(ctx context.Context) (int64, error) {
+		if !l.mayStartIn(c.Zone) {
+			l.metrics.Counter("starts_withheld").Inc(1)
+			return 0, fmt.Errorf("start on %s in zone %s: %w", c.Target.ID, c.Zone, order.ErrWithheld)
+		}
+		return l.transport.Start(ctx, c.Target, c.Order)
+	})
+	l.post(func(now time.Time) { l.machine.StartAnswered(c.Target.ID, c.Order.Run, clock, err, now) })
+}
+
+func (l *leadership) stop(c dispatch.Stop) {
+	clock, err := l.send(c.Class, 0, func(ctx context.Context) (int64, error) {
+		return l.transport.Stop(ctx, c.Target, c.Run, l.term.Number())
+	})
+	l.post(func(now time.Time) { l.machine.StopAnswered(c.Target.ID, c.Run, clock, err, now) })
+}
+
+func (l *leadership) pace(c dispatch.Pace) {
+	clock, err := l.send(limiter.Start, 0, func(ctx context.Context) (int64, error) {
+		return l.transport.Pace(ctx, c.Target, c.Run, c.Percent, l.term.Number())
+	})
+	l.post(func(now time.Time) { l.machine.PaceAnswered(c.Target.ID, c.Run, clock, err, now) })
+}
+
+// send sends an order once the limiter admits it. The timeout counts from then, since
+// the time spent waiting in this host says nothing of the target. It is the limiter's,
+// and at least minTimeout.
+func (l *leadership) send(c limiter.Class, minTimeout time.Duration, order func(ctx context.Context) (int64, error)) (int64, error) {
+	slot, err := l.limiter.Acquire(l.ctx, c)
+	if err != nil {
+		return 0, errTermOver
+	}
+	ctx, cancel := context.WithTimeout(l.ctx, max(minTimeout, l.limiter.Timeout()))
+	defer cancel()
+	if !l.mayOrder() {
+		slot.Done(false)
+		return 0, errTermOver
+	}
+	clock, err := order(ctx)
+	slot.Done(answered(err))
+	return clock, err
+}
+
+// answered reports whether the error of an order, or none, is an answer of the target.
+func answered(err error) bool {
+	return !errors.Is(err, order.ErrUnanswered) && !errors.Is(err, order.ErrUnreached) && !errors.Is(err, order.ErrWithheld)
+}
+
+// errNoAdviser is returned if a queue needs advice and the deployment has no advice
+// service.
+var errNoAdviser = errors.New("no advice service")
+
+func (l *leadership) advise(c dispatch.Advise) {
+	asked := l.clock()
+	var granted []order.Permit
+	var valid time.Duration
+	err := errNoAdviser
+	if l.adviser != nil {
+		ctx, cancel := context.WithTimeout(l.ctx, adviceTimeout)
+		defer cancel()
+		granted, valid, err = l.adviser.Advise(ctx, c.Step, c.Targets)
+	}
+	l.post(func(now time.Time) { l.machine.Advised(c, granted, valid, asked, err, now) })
+}
+
+func (l *leadership) poll(c dispatch.Poll) {
+	rep, err := l.requestReport(c)
+	l.post(func(now time.Time) {
+		if err != nil {
+			l.machine.PollFailed(c.Target.ID, c, err, now)
+			return
+		}
+		l.machine.Polled(c.Target.ID, c, rep, now)
+	})
+}
+
+// requestReport polls a target for its report. A poll that waits at the target for the
+// end of a run is no load meanwhile, and does not count against the limiter.
+func (l *leadership) requestReport(c dispatch.Poll) (rep order.Report, err error) {
+	if c.Order.Wait == 0 {
+		_, err = l.send(c.Class, minReportMargin, func(ctx context.Context) (int64, error) {
+			rep, err = l.transport.Poll(ctx, c.Target, c.Order)
+			return 0, err
+		})
+		return rep, err
+	}
+	ctx, cancel := context.WithTimeout(l.ctx, c.Order.Wait+max(minReportMargin, l.limiter.Timeout()))
+	defer cancel()
+	if !l.mayOrder() {
+		return rep, errTermOver
+	}
+	return l.transport.Poll(ctx, c.Target, c.Order)
+}
+
+// save commits a transaction of progress rows. One whose answer was lost is committed
+// again: its conditions keep it from taking effect twice, and the conflict then returns
+// the stored rows.
+func (l *leadership) save(c dispatch.Save) {
+	tx := l.transaction(c)
+	for attempt := 0; ; attempt++ {
+		res, cut, err := l.commit(tx)
+		switch {
+		case cut:
+			continue
+		case err == nil:
+			l.post(func(now time.Time) { l.machine.Saved(c.Part, res.Version, now) })
+			return
+		case errors.Is(err, store.ErrConflict):
+			l.resolveConflict(c, tx, res.Rows)
+			return
+		case errors.Is(err, store.ErrUnavailable) && attempt == 0:
+			l.log.V(1).Info("progress not saved", "part", c.Part, "rows", len(c.Rows), "error", err.Error())
+			l.post(func(now time.Time) { l.machine.SaveFailed(c.Part, now) })
+			return
+		case l.ctx.Err() != nil:
+			return
+		}
+		l.log.V(1).Info("outcome of saving progress unknown", "part", c.Part, "rows", len(c.Rows), "error", err.Error())
+		sleep(l.ctx, storeRetryDelay)
+	}
+}
+
+// commit commits a transaction. cut reports that the store recovered meanwhile, so the
+// outcome is not known.
+func (l *leadership) commit(tx store.Tx) (res store.Result, cut bool, err error) {
+	cut, err = store.RunUntilRecovered(l.ctx, l.recovered(), func(ctx context.Context) error {
+		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
+		defer cancel()
+		var err error
+		res, err = l.store.Commit(ctx, tx)
+		return err
+	})
+	return res, cut, err
+}
+
+func (l *leadership) transaction(c dispatch.Save) store.Tx {
+	tx := store.Tx{Expect: []store.Expect{{Key: fenceKey(c.Part), Version: l.fences[c.Part]}}}
+	for _, r := range c.Rows {
+		k := ProgressKey(c.Part, r.Job)
+		tx.Expect = append(tx.Expect, store.Expect{Key: k, Version: r.Version})
+		tx.Put = append(tx.Put, store.Put{Key: k, Value: r.Value})
+		if r.Completes {
+			tx.Expect = append(tx.Expect, store.Expect{Key: CancelKey(c.Part, r.Job)})
+		}
+	}
+	return tx
+}
+
+// forget removes the rows of jobs. The machine repeats a command that failed.
+func (l *leadership) forget(c dispatch.Forget) {
+	tx := store.Tx{Expect: []store.Expect{{Key: fenceKey(c.Part), Version: l.fences[c.Part]}}}
+	for _, id := range c.Jobs {
+		tx.Remove = append(tx.Remove, JobKey(c.Part, id), CancelKey(c.Part, id), ProgressKey(c.Part, id))
+	}
+	ctx, cancel := context.WithTimeout(l.ctx, storeTimeout)
+	defer cancel()
+	if _, err := l.store.Commit(ctx, tx); err != nil {
+		l.log.V(1).Info("rows of ended jobs not removed", "part", c.Part, "jobs", len(c.Jobs), "error", err.Error())
+		return
+	}
+	l.log.V(1).Info("rows of ended jobs removed", "part", c.Part, "jobs", len(c.Jobs))
+	l.post(func(time.Time) { l.machine.Forgotten(c) })
+}
+
+// resolveConflict evaluates the stored rows that made a transaction fail.
+func (l *leadership) resolveConflict(c dispatch.Save, tx store.Tx, rows []store.Row) {
+	stored := map[store.Key]store.Row{}
+	for _, r := range rows {
+		stored[r.Key] = r
+	}
+	if stored[tx.Expect[0].Key].Version != tx.Expect[0].Version {
+		l.log.Info("deposed", "step", "save", "part", c.Part, "term", l.term.Number())
+		l.post(func(time.Time) { l.machine.Depose() })
+		return
+	}
+	found := make([]dispatch.StoredRow, 0, len(c.Rows))
+	same := true
+	for _, r := range c.Rows {
+		row := stored[ProgressKey(c.Part, r.Job)]
+		_, cancelled := stored[CancelKey(c.Part, r.Job)]
+		same = same && bytes.Equal(row.Value, r.Value) && row.Version > r.Version
+		found = append(found, dispatch.StoredRow{Job: r.Job, Version: row.Version, Cancelled: cancelled && r.Completes})
+	}
+	if same { // an earlier attempt took effect
+		version := stored[ProgressKey(c.Part, c.Rows[0].Job)].Version
+		l.post(func(now time.Time) { l.machine.Saved(c.Part, version, now) })
+		return
+	}
+	l.post(func(now time.Time) { l.machine.SaveRefused(c.Part, found, now) })
+}
+
+// scan finds jobs and cancellations whose notification was lost.
+func (l *leadership) scan(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
+	defer cancel()
+	page, err := l.store.Changes(ctx, jobsTable, l.scannedVersion, 0)
+	switch {
+	case errors.Is(err, store.ErrCompacted):
+		return l.rescan(ctx)
+	case err != nil:
+		l.log.V(1).Info("jobs not scanned", "after", l.scannedVersion, "error", err.Error())
+		return err
+	}
+	l.applyRows(page.Rows)
+	l.scannedVersion = max(l.scannedVersion, page.Version)
+	return nil
+}
+
+// rescan reads all rows, after the change feed was compacted past scannedVersion.
+func (l *leadership) rescan(ctx context.Context) error {
+	version := int64(0)
+	for p := range Partitions {
+		page, err := store.ReadAll(ctx, l.store, store.Range{Table: jobsTable, Partition: fmt.Sprint(p)})
+		if err != nil {
+			l.log.V(1).Info("jobs not scanned", "part", p, "error", err.Error())
+			return err
+		}
+		l.applyRows(page.Rows)
+		if version == 0 || page.Version < version {
+			version = page.Version
+		}
+	}
+	l.log.Info("change feed compacted, all jobs read", "version", version)
+	l.scannedVersion = version
+	return nil
+}
+
+func (l *leadership) applyRows(rows []store.Row) {
+	for _, r := range rows {
+		if r.Removed {
+			continue
+		}
+		if id, ok := strings.CutSuffix(r.Key.Name, cancelSuffix); ok {
+			l.post(func(now time.Time) { l.machine.Cancel(graph.JobID(id), now) })
+			continue
+		}
+		spec, err := DecodeJob(r.Value)
+		if err != nil || string(spec.ID) != r.Key.Name {
+			l.logMalformed(r, err)
+			continue
+		}
+		l.post(func(now time.Time) { l.machine.Accept(spec, now) })
+	}
+}
--- a/internal/host/dispatcher/listing_test.go
+++ b/internal/host/dispatcher/listing_test.go
@@ -15,33 +15,33 @@
 	"guavaglade.example/guavaglade/internal/work/dispatch"
 )
 
-// slowRoster takes its time for each list, and notes when it was asked.
+// slowRoster takes latency for each list, and records when it was called.
 type slowRoster struct {
-	takes time.Duration
-	asked []time.Time
+	latency time.Duration
+	calls   []time.Time
 }
 
 func (r *slowRoster) Targets(ctx context.Context) ([]roster.Target, error) {
-	r.asked = append(r.asked, time.Now())
-	pause(ctx, r.takes)
+	r.calls = append(r.calls, time.Now())
+	sleep(ctx, r.latency)
 	return nil, ctx.Err()
 }
 
-// A store takes six tenths of a second for the list of targets. The leader asked
-// for the next one a second after it had got the last, which was then up to 2.2 s
-// old, and for part of each round nothing was started for that.
-func TestListIsReadFromTheBeginningOfTheLast(t *testing.T) {
+// Reading the list of targets takes 0.6 s. If the interval counted from the end of the
+// last read, the list would get up to 2.2 s old, past ListAge, and nothing would start
+// for a part of each interval.
+func TestListIntervalCountsFromStartOfLastRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := &slowRoster{takes: 600 * time.Millisecond}
-		d := New(rows.New(0), &sends{}, r, dispatch.DefaultBounds(), logr.Discard(), WithClock(time.Now))
+		r := &slowRoster{latency: 600 * time.Millisecond}
+		d := New(rows.New(0), &orderCounter{}, r, dispatch.DefaultBounds(), logr.Discard(), WithClock(time.Now))
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		_ = d.Lead(ctx, leader.NewTerm(1, time.Now()), true) // ends with the context
-		is.True(len(r.asked) > 5)
-		for i := range r.asked[1:] {
-			oldest := r.asked[i+1].Sub(r.asked[i]) + r.takes
-			is.True(oldest <= d.bounds.MaxListAge) // the list that is known when the next one comes
+		is.True(len(r.calls) > 5)
+		for i := range r.calls[1:] {
+			oldest := r.calls[i+1].Sub(r.calls[i]) + r.latency
+			is.True(oldest <= d.bounds.MaxListAge) // age of the list that is in use when the next one arrives
 		}
 	})
 }
--- a/internal/proof/deployment/rig_test.go
+++ b/internal/proof/deployment/rig_test.go
@@ -19,9 +19,9 @@
 	"guavaglade.example/guavaglade/internal/fleet/roster"
 	"guavaglade.example/guavaglade/internal/host/dispatcher"
 	"guavaglade.example/guavaglade/internal/host/entry"
-	"guavaglade.example/guavaglade/internal/host/exchange"
 	"guavaglade.example/guavaglade/internal/host/leader"
 	"guavaglade.example/guavaglade/internal/host/peer"
+	"guavaglade.example/guavaglade/internal/host/rpc"
 	"guavaglade.example/guavaglade/internal/platform/store"
 	"guavaglade.example/guavaglade/internal/standin/pool"
 	"guavaglade.example/guavaglade/internal/standin/rows"
@@ -61,7 +61,7 @@
 	line     *pool.Line
 	election *leader.Election
 	entry    *entry.Entry
-	net      *peer.Net
+	net      *peer.Transport
 	end      context.CancelFunc
 	over     chan struct{} // closed when its election has ended
 	dead     bool
@@ -123,14 +123,14 @@
 	log := r.logger(name)
 	h.link = rows.NewLink(r.table, rand.New(rand.NewPCG(r.rnd.Uint64(), 2)))
 	h.line = pool.NewLine(r.shared, time.Millisecond, rand.New(rand.NewPCG(r.rnd.Uint64(), 3)))
-	gauge := store.NewMonitor(h.link, leader.RowKey, func(up bool, err error) { log.Info("store", "serves", up, "error", fmt.Sprint(err)) })
-	desk := dispatcher.New(gauge, h.line, r.shared, dispatch.DefaultBounds(), log, dispatcher.WithClock(time.Now))
-	x := exchange.New(h.address, desk, catalog.NewKeeper(nil), gauge.Up, exchange.WithPower(1))
+	monitor := store.NewMonitor(h.link, leader.RowKey, func(up bool, err error) { log.Info("store", "serves", up, "error", fmt.Sprint(err)) })
+	desk := dispatcher.New(monitor, h.line, r.shared, dispatch.DefaultBounds(), log, dispatcher.WithClock(time.Now))
+	x := rpc.New(h.address, desk, catalog.NewKeeper(nil), monitor.Up, rpc.WithCores(1))
 	h.net = peer.New(x.Handle, nil, r.wires.dial(h.address), logr.Discard())
-	h.election = leader.New(gauge, x, desk.Lead, fmt.Sprintf("%s#%d", name, life), h.address, log, leader.WithClock(time.Now), leader.WithRandom(r.draw()))
-	h.entry = entry.New(gauge, x, x, log)
+	h.election = leader.New(monitor, x, desk.Lead, fmt.Sprintf("%s#%d", name, life), h.address, log, leader.WithClock(time.Now), leader.WithRandom(r.draw()))
+	h.entry = entry.New(monitor, x, x, log)
 	x.Bind(h.net, h.election, h.entry)
-	go gauge.Run(ctx)
+	go monitor.Run(ctx)
 	listener := r.wires.listen(h.address)
 	go func() { _ = h.net.Serve(listener) }()
 	go func() {
@@ -321,7 +321,7 @@
 		return ""
 	}
 	now, err := r.state(s)
-	if errors.Is(err, entry.ErrNoAnswer) {
+	if errors.Is(err, entry.ErrUnavailable) {
 		return err.Error()
 	}
 	if err != nil {
--- a/internal/work/request/request_test.go
+++ b/internal/work/request/request_test.go
@@ -13,7 +13,7 @@
 	"guavaglade.example/guavaglade/internal/work/request"
 )
 
-const described = `
+const configText = `
 [service refill]
 objectiveTarget = 0.9
 objectiveWithin = 5s
@@ -41,7 +41,7 @@
 
 func config(t *testing.T) *text.Config {
 	t.Helper()
-	c, err := text.Parse([]byte(described))
+	c, err := text.Parse([]byte(configText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-func TestJob(t *testing.T) {
+func TestResolve(t *testing.T) {
 	is := is.New(t)
 	c := config(t)
 	label, err := request.Request{RequestID: "r1", Service: "refill", Job: "label", Input: []byte("x")}.Resolve(c, "norte", noon)
@@ -67,7 +67,7 @@
 	is.Equal(plan.Steps[0].Count, 4)
 	is.Equal(plan.StartBy, noon.Add(10*time.Second).UnixMilli())
 
-	// Members on one worker are one task with the needs of all.
+	// Members that share a worker are one task with the needs of all.
 	bill, err := request.Request{RequestID: "r3", Service: "refill", Job: "bill"}.Resolve(c, "norte", noon)
 	is.NoErr(err)
 	is.True(bill.AtMostOnce && !bill.Steps[0].Gang)
@@ -76,28 +76,28 @@
 	is.Equal(bill.MaxAttempts, 1)
 }
 
-func TestRefused(t *testing.T) {
+func TestResolveRejectsInvalidRequests(t *testing.T) {
 	c := config(t)
 	for name, r := range map[string]request.Request{
 		"no request id": {Service: "refill", Job: "label"},
-		"odd id":        {RequestID: "a b", Service: "refill", Job: "label"},
+		"malformed id":  {RequestID: "a b", Service: "refill", Job: "label"},
 		"large input":   {RequestID: "a", Service: "refill", Job: "label", Input: []byte(strings.Repeat("x", request.MaxInputBytes+1))},
 	} {
 		if _, err := r.Resolve(c, "norte", noon); !errors.Is(err, request.ErrInvalid) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got %v, want ErrInvalid", name, err)
 		}
 	}
 	for _, r := range []request.Request{{RequestID: "a", Service: "x", Job: "label"}, {RequestID: "a", Service: "refill", Job: "x"}} {
 		if _, err := r.Resolve(c, "norte", noon); !errors.Is(err, request.ErrNotFound) {
-			t.Errorf("%v: %v", r, err)
+			t.Errorf("%v: got %v, want ErrNotFound", r, err)
 		}
 	}
 }
 
-// A request that is sent again is the same job, whichever host it comes to; the
-// ids of two accounts never meet, not even where one's name ends as the other's
-// request begins.
-func TestJobID(t *testing.T) {
+// A request that is sent again is the same job, whichever host receives it. Job ids
+// of two accounts never collide, even if account name and request id concatenate to
+// the same text.
+func TestJobIDIsStableAndUnique(t *testing.T) {
 	is := is.New(t)
 	is.Equal(request.JobID("norte", "r1"), request.JobID("norte", "r1"))
 	is.True(request.JobID("norte", "r1") != request.JobID("sur", "r1"))
