--- a/internal/work/dispatch/bounds.go
+++ b/internal/work/dispatch/bounds.go
@@ -38,7 +38,7 @@
 	maxPollWait = 2 * time.Second
 	// clockDrift is the fraction by which a target's clock may run slow.
 	clockDrift = 0.02
-	// leaseSlack is added to the time at which a lease is taken to have expired. It covers
+	// leaseSlack is added to the time at which a lease is taken to have lapsed. It covers
 	// the rounding of the target's clock to milliseconds and the latency of the order.
 	leaseSlack = 100 * time.Millisecond
 	// orderRetryInterval is the time after which an unanswered order is sent again. It
--- a/internal/work/dispatch/doc.go
+++ b/internal/work/dispatch/doc.go
@@ -11,7 +11,7 @@
 //   - The runs that may exist on a target never need more than its capacity. A
 //     run may exist from the moment its start is commanded until its end is
 //     listed, a stop was answered and a later report does not list it, the
-//     target's incarnation has ended, or every lease that it may hold has expired.
+//     target's incarnation has ended, or every lease that it may hold has lapsed.
 //   - A task has at most one run that may exist, unless its step allows speculative
 //     runs.
 //   - An end is acknowledged only after the progress that contains it is saved.
--- a/internal/work/dispatch/gang.go
+++ b/internal/work/dispatch/gang.go
@@ -9,8 +9,8 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// placeGang places all tasks of a gang or none. It returns true, since the step stays open
-// until its tasks are done.
+// placeGang places all tasks of a gang or none. It always returns true, since the step
+// stays open until it is done.
 func (m *Machine) placeGang(s *step, now time.Time) bool {
 	for _, x := range s.tasks {
 		if len(x.runs) > 0 {
@@ -47,7 +47,7 @@
 	m.targetsConsidered += len(m.sortedTargets)
 	var all []*target
 	var list []targetSet
-	for _, rack := range m.racksInOrder() {
+	for _, rack := range m.targetsByRack() {
 		set := targetSet{}
 		if s.spec.DataRack != "" && rack[0].Rack != s.spec.DataRack {
 			set.slowdowns++
@@ -77,8 +77,8 @@
 	return list
 }
 
-// racksInOrder returns the targets grouped by rack. Those without a rack form one group.
-func (m *Machine) racksInOrder() [][]*target {
+// targetsByRack returns the targets grouped by rack. Those without a rack form one group.
+func (m *Machine) targetsByRack() [][]*target {
 	if m.racks != nil {
 		return m.racks
 	}
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -113,7 +113,7 @@
 // EnablePlacement allows placement. It is called once, after all accepted jobs were
 // restored and the first list of targets was read. Runs that an earlier leader recorded
 // on targets that do not report are taken to have ended at predecessorLeasesEnd, when
-// all leases that it can have granted have expired.
+// all leases that it can have granted have lapsed.
 func (m *Machine) EnablePlacement(predecessorLeasesEnd, now time.Time) {
 	m.placementEnabled, m.placementEnabledAt, m.placementDue = true, now, true
 	for _, t := range m.sortedTargets {
--- a/internal/work/dispatch/target.go
+++ b/internal/work/dispatch/target.go
@@ -34,7 +34,7 @@
 	waitingCharge    graph.Resources    // charge of the runs that await capacity there
 	clockMS          int64              // its clock as last reported; 0: not known
 	clockAt          time.Time          // when that was received
-	leaseEnd         time.Time          // when all leases granted there have expired
+	leaseEnd         time.Time          // when all leases granted there have lapsed
 	pollCandidate    bool               // it is in Machine.pollCandidates
 	pollPending      bool               // a poll is outstanding
 	pollSentAt       time.Time          // when the outstanding poll was sent
