--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -8,8 +8,8 @@
 	"github.com/go-logr/logr"
 
 	"guavaglade.example/guavaglade/internal/host/process"
+	"guavaglade.example/guavaglade/internal/host/scheduler"
 	"guavaglade.example/guavaglade/internal/host/settings"
-	"guavaglade.example/guavaglade/internal/host/station"
 	"guavaglade.example/guavaglade/internal/report/metrics"
 )
 
@@ -21,7 +21,7 @@
 const noPlatform = loopback + ":1"
 
 // PortsFunc returns a host's connections to the platform.
-type PortsFunc func(host int, log logr.Logger) station.Ports
+type PortsFunc func(host int, log logr.Logger) scheduler.Ports
 
 // Zones are the availability zones of a site.
 var Zones = []string{"leon", "celaya", "irapuato"}
