--- a/internal/operator/command/evacuation.go
+++ b/internal/operator/command/evacuation.go
@@ -49,7 +49,7 @@
 	}
 	f, err := k.Fleet(ctx)
 	if err != nil {
-		return fmt.Errorf("zone %s: list zones with targets: %w; --empty skips this check", zone, err)
+		return fmt.Errorf("zone %s: list zones: %w; --empty skips this check", zone, err)
 	}
 	var others []string
 	for _, z := range f.Zones {
@@ -58,7 +58,7 @@
 		}
 		others = append(others, z.Name)
 	}
-	return fmt.Errorf("zone %s: no targets in this zone; zones with targets: %s; --empty evacuates it anyway", zone, strings.Join(others, ", "))
+	return fmt.Errorf("zone %s: no targets in this zone; known zones: %s; --empty evacuates it anyway", zone, strings.Join(others, ", "))
 }
 
 func (o hostOptions) setEvacuated(s streams, zone string, on bool) error {
--- a/internal/operator/demo/demo.go
+++ b/internal/operator/demo/demo.go
@@ -141,12 +141,12 @@
 	if err != nil {
 		return err
 	}
-	begun := time.Now()
+	began := time.Now()
 	for {
 		f, err := c.Fleet(ctx)
 		if err == nil && slices.ContainsFunc(f.Zones, func(z view.Zone) bool { return z.Name == zone && z.Evacuated == on }) {
 			_, err = fmt.Fprintf(out, "version %d: zone %s evacuated %t, in force after %s; usable %d of %d accelerators\n",
-				v.Version, zone, on, time.Since(begun).Round(time.Millisecond), f.Usable, targetsPerRack*acceleratorsPerTarget*len(site.Zones))
+				v.Version, zone, on, time.Since(began).Round(time.Millisecond), f.Usable, targetsPerRack*acceleratorsPerTarget*len(site.Zones))
 			return err
 		}
 		select {
@@ -211,14 +211,14 @@
 	if _, err := c.Apply(ctx, 0, "demo-1", configuration); err != nil {
 		return fmt.Errorf("apply the demo's configuration: %w", err)
 	}
-	begun := time.Now()
+	began := time.Now()
 	for {
 		rows, err := c.InForce(ctx)
 		if err != nil {
 			return err
 		}
 		if len(rows) == len(d.hosts.Hosts()) && allInForce(rows, 1) {
-			_, err = fmt.Fprintf(out, "version 1 in force on %d hosts of %d zones after %s\n", len(rows), len(site.Zones), time.Since(begun).Round(time.Millisecond))
+			_, err = fmt.Fprintf(out, "version 1 in force on %d hosts of %d zones after %s\n", len(rows), len(site.Zones), time.Since(began).Round(time.Millisecond))
 			return err
 		}
 		select {
@@ -240,11 +240,11 @@
 
 // submit submits a job to the hosts, beginning with the given one, and waits for its end.
 func submit(ctx context.Context, d *deployment, first int, scenario, key, kind, id string, input []byte, want progress.State) outcome {
-	begun := time.Now()
+	began := time.Now()
 	service, name, _ := strings.Cut(kind, ".")
 	r := request.Request{RequestID: id, Service: service, Job: name, Input: input}
 	v, err := client.New(d.hosts.CallerAddresses(first), key, nil).Submit(ctx, r, 20*time.Second)
-	return outcome{scenario: scenario, view: v, err: err, want: want, duration: time.Since(begun)}
+	return outcome{scenario: scenario, view: v, err: err, want: want, duration: time.Since(began)}
 }
 
 // submitToAll submits jobs concurrently, to the hosts in turn.
@@ -282,7 +282,7 @@
 		}
 		if r.err != nil || r.view.State != r.want {
 			bad++
-			reason = fmt.Sprintf("WANT %s: %s", r.want, reason)
+			reason = fmt.Sprintf("want %s: %s", r.want, reason)
 		}
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", r.scenario, r.view.ID, r.view.State, r.duration.Round(time.Millisecond), reason)
 	}
--- a/internal/standin/pool/pool.go
+++ b/internal/standin/pool/pool.go
@@ -80,8 +80,8 @@
 // findJob returns a submitted job, looking it up if needed; nil if there is none.
 func (p *Pool) findJob(id graph.JobID) *jobState {
 	if p.jobs[id] == nil && p.lookup != nil {
-		if j, does := p.lookup(id); j != nil {
-			p.Submit(j, does)
+		if j, b := p.lookup(id); j != nil {
+			p.Submit(j, b)
 		}
 	}
 	return p.jobs[id]
