--- a/internal/config/document/doc.go
+++ b/internal/config/document/doc.go
@@ -1,14 +1,12 @@
-// Package document reads an INI text and knows on which line everything stands.
+// Package document reads INI text and reports every fault with its line number.
 //
-// The INI library gives sections, keys and values but no lines, and stops at
-// the first line that it cannot read. A pass over the lines notes where each
-// section and key stands, and takes out the lines that the library would
-// refuse or read in a way that surprises: so one reading gives all faults, each
-// with its line.
+// The INI library returns sections, keys and values without line numbers and
+// stops at the first invalid line. A scan of the text therefore records the line
+// of each section and key first, and removes the lines that the library would
+// reject or interpret in an unexpected way. A single read thus reports all faults.
 //
-// What is allowed is a plain subset of INI: one key = value a line, sections in
-// square brackets, comments that begin with # or ; on a line of their own or
-// after a space. A value never goes on over the end of its line, and no value
-// refers to another key. Lines may end with LF or CRLF and the text may begin
-// with a byte order mark.
+// The accepted syntax is a subset of INI: one key = value per line, section names
+// in square brackets, and comments that begin with # or ; on a line of their own or
+// after a space. Values do not span lines and do not refer to other keys. Lines end
+// with LF or CRLF, and the text may begin with a byte order mark.
 package document
--- a/internal/config/document/document.go
+++ b/internal/config/document/document.go
@@ -6,33 +6,32 @@
 	"gopkg.in/ini.v1"
 )
 
-// Document is a text that was read. Reading its values collects faults.
+// Document is a parsed INI text. Reading values from its sections adds faults to it.
 type Document struct {
 	sections []*Section
 	faults   Faults
 }
 
-// Read reads a text. Lines that cannot be read are faults; the others are there
-// to be checked.
+// Read parses a text. Invalid lines are recorded as faults and skipped.
 func Read(body []byte) *Document {
 	d := &Document{}
-	if len(body) > MaxText {
-		d.Fault(fmt.Sprintf("text of %d bytes; at most %d are read", len(body), MaxText))
+	if len(body) > MaxTextBytes {
+		d.Fault(fmt.Sprintf("text has %d bytes; the limit is %d", len(body), MaxTextBytes))
 		return d
 	}
-	l := scan(string(body))
-	d.faults = l.faults
+	scanned := scan(string(body))
+	d.faults = scanned.faults
 	file, err := ini.LoadSources(ini.LoadOptions{
 		IgnoreContinuation:       true,
 		SpaceBeforeInlineComment: true,
 		KeyValueDelimiters:       "=",
-	}, []byte(l.kept.String()))
+	}, []byte(scanned.cleaned.String()))
 	if err != nil {
 		d.Fault(err.Error())
 		return d
 	}
-	for _, name := range l.order {
-		d.sections = append(d.sections, newSection(d, l, file.Section(name)))
+	for _, name := range scanned.sections {
+		d.sections = append(d.sections, newSection(d, scanned, file.Section(name)))
 	}
 	return d
 }
@@ -40,8 +39,8 @@
 // Sections returns the sections in the order of the text.
 func (d *Document) Sections() []*Section { return d.sections }
 
-// Section returns the section of the name. If the text has none it returns an
-// empty one, whose faults are about the text as a whole.
+// Section returns the section with the given name. If the text has no such section
+// it returns an empty one, whose faults have no line number.
 func (d *Document) Section(name string) *Section {
 	for _, s := range d.sections {
 		if s.name == name {
@@ -51,10 +50,10 @@
 	return &Section{doc: d, name: name, values: map[string]entry{}}
 }
 
-// Fault notes what is wrong with the text as a whole.
+// Fault adds a fault of the text as a whole.
 func (d *Document) Fault(reason string) {
 	d.faults = append(d.faults, Fault{Reason: reason})
 }
 
-// Faults returns what was found wrong up to now, sorted by line.
+// Faults returns the faults found so far, sorted by line.
 func (d *Document) Faults() Faults { return d.faults.sorted() }
--- a/internal/config/document/example_test.go
+++ b/internal/config/document/example_test.go
@@ -6,8 +6,8 @@
 	"guavaglade.example/guavaglade/internal/config/document"
 )
 
-// A value that is wrong gives the default and a fault with its line; a line that
-// cannot be read does not hide the others.
+// An invalid value yields the default and a fault with its line number; an invalid
+// line does not prevent the others from being read.
 func ExampleRead() {
 	d := document.Read([]byte("[host]\nzone leon\nslots = many\nport = 80 ; plain\n"))
 	host := d.Section("host")
@@ -15,6 +15,6 @@
 	fmt.Println(d.Faults())
 	// Output:
 	// 8 80 1
-	// line 2: [host] not a key: "zone leon"; write KEY = VALUE
+	// line 2: [host] no equals sign: "zone leon"; want KEY = VALUE
 	// line 3: [host] slots: "many" is not a whole number
 }
--- a/internal/config/document/fault.go
+++ b/internal/config/document/fault.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a text.
+// Fault describes one error in a text and its position.
 type Fault struct {
-	Line    int    `json:"line"`              // from 1; 0: the text as a whole
-	Section string `json:"section,omitempty"` // as in the text, without brackets; empty if none
-	Key     string `json:"key,omitempty"`     // empty if the fault is not about one key
-	Reason  string `json:"reason"`            // says what to do where that is not plain
+	Line    int    `json:"line"`              // counted from 1; 0: the text as a whole
+	Section string `json:"section,omitempty"` // name without brackets; empty if none
+	Key     string `json:"key,omitempty"`     // empty if the fault does not concern a single key
+	Reason  string `json:"reason"`            // includes the remedy where it is not obvious
 }
 
-// Error returns the fault in one line, with its place first.
+// Error returns the fault on one line, preceded by its position.
 func (f Fault) Error() string {
 	var b strings.Builder
 	if f.Line > 0 {
@@ -30,11 +30,10 @@
 	return b.String()
 }
 
-// Faults is all that is wrong with a text, sorted by line. An empty Faults
-// says that nothing is.
+// Faults holds all faults of a text, sorted by line. It is empty for a valid text.
 type Faults []Fault
 
-// Error returns one line for each fault.
+// Error returns the faults, one per line.
 func (fs Faults) Error() string {
 	lines := make([]string, 0, len(fs))
 	for _, f := range fs {
@@ -43,7 +42,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the faults as an error, nil if there are none.
+// Err returns the faults as an error, or nil if there are none.
 func (fs Faults) Err() error {
 	if len(fs) == 0 {
 		return nil
--- a/internal/config/document/section.go
+++ b/internal/config/document/section.go
@@ -11,15 +11,15 @@
 	"gopkg.in/ini.v1"
 )
 
-// Section is one section of a document. Its methods read values: a value that
-// is not there gives the default, a value that is wrong is a fault and gives
-// the default too.
+// Section is one section of a document. The methods that read a value return the
+// default if the key is missing; if the value is invalid they add a fault and return
+// the default.
 type Section struct {
 	doc    *Document
 	name   string
-	line   int // 0: not in the text
+	line   int // 0: the text has no such section
 	values map[string]entry
-	asked  []string // keys that were read, in order
+	known  []string // keys requested so far, in order
 }
 
 type entry struct {
@@ -27,21 +27,22 @@
 	line int
 }
 
-func newSection(d *Document, l *lines, from *ini.Section) *Section {
-	s := &Section{doc: d, name: from.Name(), line: l.at[place{section: from.Name()}], values: map[string]entry{}}
-	for _, k := range from.Keys() {
-		s.values[k.Name()] = entry{k, l.at[place{from.Name(), k.Name()}]}
+func newSection(d *Document, scanned *scanner, source *ini.Section) *Section {
+	s := &Section{doc: d, name: source.Name(), line: scanned.lineOf[keyPath{section: source.Name()}], values: map[string]entry{}}
+	for _, k := range source.Keys() {
+		s.values[k.Name()] = entry{k, scanned.lineOf[keyPath{source.Name(), k.Name()}]}
 	}
 	return s
 }
 
-// Name returns the section's name, with single spaces.
+// Name returns the section's name, with runs of spaces collapsed.
 func (s *Section) Name() string { return s.name }
 
-// Line returns the line that the section begins on, 0 if the text has none.
+// Line returns the line number of the section's header, 0 if the text has no such
+// section.
 func (s *Section) Line() int { return s.line }
 
-// KeyLine returns the line of a key, that of its section if it is not there.
+// KeyLine returns the line number of a key, or of the section if the key is missing.
 func (s *Section) KeyLine(key string) int {
 	if e, ok := s.values[key]; ok {
 		return e.line
@@ -49,56 +50,57 @@
 	return s.line
 }
 
-// Has reports whether the text gives the key.
+// Has reports whether the section contains the key.
 func (s *Section) Has(key string) bool {
 	_, ok := s.values[key]
 	return ok
 }
 
-// Fault notes what is wrong with a key, or with the section if key is empty.
+// Fault adds a fault of a key, or of the section if key is empty.
 func (s *Section) Fault(key, reason string) {
 	f := Fault{Line: s.KeyLine(key), Section: s.name, Key: key, Reason: reason}
 	s.doc.faults = append(s.doc.faults, f)
 }
 
-// Faultf is Fault with a format.
+// Faultf is like Fault but formats the reason.
 func (s *Section) Faultf(key, format string, args ...any) {
 	s.Fault(key, fmt.Sprintf(format, args...))
 }
 
-// Require notes a fault if the text does not give the key.
+// Require adds a fault if the key is missing.
 func (s *Section) Require(key string) {
 	if !s.Has(key) {
 		s.Fault(key, "missing")
 	}
 }
 
-// raw returns a value that is there and not empty.
+// raw returns the value of a key; ok is false if it is missing or empty. An empty
+// value is a fault.
 func (s *Section) raw(key string) (value string, ok bool) {
-	if !slices.Contains(s.asked, key) {
-		s.asked = append(s.asked, key)
+	if !slices.Contains(s.known, key) {
+		s.known = append(s.known, key)
 	}
 	e, ok := s.values[key]
 	if !ok {
 		return "", false
 	}
 	if e.key.Value() == "" {
-		s.Fault(key, "without a value; take the line out for the default")
+		s.Fault(key, "empty value; remove the line to use the default")
 		return "", false
 	}
 	return e.key.Value(), true
 }
 
-// Text returns a value as it stands.
-func (s *Section) Text(key, otherwise string) string {
+// Text returns a value unchanged.
+func (s *Section) Text(key, defaultValue string) string {
 	if v, ok := s.raw(key); ok {
 		return v
 	}
-	return otherwise
+	return defaultValue
 }
 
-// List returns the parts of a value between commas, nil if it is not there. An
-// empty part is a fault, and so is one that comes twice.
+// List returns the elements of a comma-separated value, nil if the key is missing.
+// Empty and duplicate elements are faults.
 func (s *Section) List(key string) []string {
 	v, ok := s.raw(key)
 	if !ok {
@@ -109,9 +111,9 @@
 		p = strings.TrimSpace(p)
 		switch {
 		case p == "":
-			s.Fault(key, "empty part between commas")
+			s.Fault(key, "empty element in the list")
 		case slices.Contains(parts, p):
-			s.Faultf(key, "%s stands twice", clip(p))
+			s.Faultf(key, "duplicate element %s", quote(p))
 		default:
 			parts = append(parts, p)
 		}
@@ -119,72 +121,72 @@
 	return parts
 }
 
-// Int returns a whole number from least to most.
-func (s *Section) Int(key string, otherwise, least, most int) int {
-	return number(s, key, otherwise, least, most, "whole number", strconv.Atoi)
+// Int returns a whole number from minValue to maxValue.
+func (s *Section) Int(key string, defaultValue, minValue, maxValue int) int {
+	return parseInRange(s, key, defaultValue, minValue, maxValue, "whole number", strconv.Atoi)
 }
 
-// Float returns a number from least to most.
-func (s *Section) Float(key string, otherwise, least, most float64) float64 {
+// Float returns a number from minValue to maxValue.
+func (s *Section) Float(key string, defaultValue, minValue, maxValue float64) float64 {
 	parse := func(v string) (float64, error) { return strconv.ParseFloat(v, 64) }
-	return number(s, key, otherwise, least, most, "number", parse)
+	return parseInRange(s, key, defaultValue, minValue, maxValue, "number", parse)
 }
 
-// Duration returns a time span from least to most, such as 1500ms, 2s or 1h30m.
-func (s *Section) Duration(key string, otherwise, least, most time.Duration) time.Duration {
-	return number(s, key, otherwise, least, most, "duration such as 1500ms, 2s or 1h30m", time.ParseDuration)
+// Duration returns a duration from minValue to maxValue, such as 1500ms, 2s or 1h30m.
+func (s *Section) Duration(key string, defaultValue, minValue, maxValue time.Duration) time.Duration {
+	return parseInRange(s, key, defaultValue, minValue, maxValue, "duration such as 1500ms, 2s or 1h30m", time.ParseDuration)
 }
 
-// Bool returns true or false.
-func (s *Section) Bool(key string, otherwise bool) bool {
+// Bool returns a boolean.
+func (s *Section) Bool(key string, defaultValue bool) bool {
 	v, ok := s.raw(key)
 	if !ok {
-		return otherwise
+		return defaultValue
 	}
 	b, err := s.values[key].key.Bool()
 	if err != nil {
-		s.Faultf(key, "%s is not true or false", clip(v))
-		return otherwise
+		s.Faultf(key, "%s is not true or false", quote(v))
+		return defaultValue
 	}
 	return b
 }
 
-// Choice returns one of the words.
-func (s *Section) Choice(key, otherwise string, words ...string) string {
+// Choice returns a value that is one of the choices.
+func (s *Section) Choice(key, defaultValue string, choices ...string) string {
 	v, ok := s.raw(key)
 	if !ok {
-		return otherwise
+		return defaultValue
 	}
-	if !slices.Contains(words, v) {
-		s.Faultf(key, "%s is not one of %s", clip(v), strings.Join(words, ", "))
-		return otherwise
+	if !slices.Contains(choices, v) {
+		s.Faultf(key, "%s is not one of %s", quote(v), strings.Join(choices, ", "))
+		return defaultValue
 	}
 	return v
 }
 
-// Unknown notes a fault for each key that was never read.
-func (s *Section) Unknown() {
+// CheckUnknownKeys adds a fault for each key that was never requested.
+func (s *Section) CheckUnknownKeys() {
 	for key := range s.values {
-		if !slices.Contains(s.asked, key) {
-			s.Faultf(key, "unknown key; known here: %s", strings.Join(s.asked, ", "))
+		if !slices.Contains(s.known, key) {
+			s.Faultf(key, "unknown key; known here: %s", strings.Join(s.known, ", "))
 		}
 	}
 }
 
-func number[N cmp.Ordered](s *Section, key string, otherwise, least, most N, what string, parse func(string) (N, error)) N {
+func parseInRange[N cmp.Ordered](s *Section, key string, defaultValue, minValue, maxValue N, typeName string, parse func(string) (N, error)) N {
 	v, ok := s.raw(key)
 	if !ok {
-		return otherwise
+		return defaultValue
 	}
 	n, err := parse(v)
 	if err != nil {
-		s.Faultf(key, "%s is not a %s", clip(v), what)
-		return otherwise
+		s.Faultf(key, "%s is not a %s", quote(v), typeName)
+		return defaultValue
 	}
-	// Written so that a value that is not a number is refused as well.
-	if !(n >= least && n <= most) {
-		s.Faultf(key, "%s is out of range, want %v to %v", clip(v), least, most)
-		return otherwise
+	// The negated form also rejects NaN.
+	if !(n >= minValue && n <= maxValue) {
+		s.Faultf(key, "%s is out of range, want %v to %v", quote(v), minValue, maxValue)
+		return defaultValue
 	}
 	return n
 }
--- a/internal/config/text/parse.go
+++ b/internal/config/text/parse.go
@@ -97,7 +97,7 @@
 			}
 			known[at] = true
 			k.read(name, at)
-			at.Unknown()
+			at.CheckUnknownKeys()
 		}
 	}
 	for _, at := range r.doc.Sections() {
--- a/internal/config/text/parse_test.go
+++ b/internal/config/text/parse_test.go
@@ -62,13 +62,13 @@
 	}{
 		{"unknown kind of section", "[target", "[worker", 29, "unknown kind of section"},
 		{"section without a name", "[service catalogue]", "[service]", 13, `name "": want`},
-		{"section not closed", "[service catalogue]", "[service catalogue", 13, "not a section"},
-		{"section twice", "[target 127.0.0.1:7101]", "[service refill]", 29, "stands already on line 7"},
-		{"key before any section", "[zone leon]\n", "racks = 1\n[zone leon]\n", 1, "stands before any section"},
+		{"section not closed", "[service catalogue]", "[service catalogue", 13, "invalid section header"},
+		{"section twice", "[target 127.0.0.1:7101]", "[service refill]", 29, "duplicate section, first on line 7"},
+		{"key before any section", "[zone leon]\n", "racks = 1\n[zone leon]\n", 1, "key before the first section"},
 		{"unknown key", "weight = 2", "wieght = 2", 22, "unknown key; known here: keyHash, weight, operator"},
-		{"key twice", "weight = 2", "weight = 2\nweight = 3", 23, "weight: stands already on line 22"},
-		{"no equals sign", "weight = 2", "weight 2", 22, "not a key"},
-		{"no value", "weight = 2", "weight =", 22, "without a value"},
+		{"key twice", "weight = 2", "weight = 2\nweight = 3", 23, "weight: duplicate key, first on line 22"},
+		{"no equals sign", "weight = 2", "weight 2", 22, "no equals sign"},
+		{"no value", "weight = 2", "weight =", 22, "empty value"},
 		{"bad number", "members = 2", "members = two", 15, `"two" is not a whole number`},
 		{"octal is not read as such", "members = 2", "members = 0x2", 15, "not a whole number"},
 		{"not a number at all", "completionWeight = 0.8", "completionWeight = NaN", 8, "out of range, want 0 to 1"},
@@ -92,7 +92,7 @@
 		{"unknown account of a guarantee", "[guarantee kiosks.", "[guarantee kiosk.", 24, `account "kiosk" is not described`},
 		{"name without an owner", "[guarantee kiosks.orders]", "[guarantee kiosks]", 24, "want OWNER.NAME"},
 		{"unknown zone of a guarantee", "zones = leon", "zones = leon, lyon", 25, `zone "lyon" is not described`},
-		{"empty part of a list", "zones = leon", "zones = leon,,", 25, "empty part"},
+		{"empty part of a list", "zones = leon", "zones = leon,,", 25, "empty element in the list"},
 		{"unknown adjacency", "adjacency = rack\nrep", "adjacency = row\nrep", 17, `"row" is not one of any, rack, worker`},
 		{"too many members", "members = 2", "members = 65", 15, "out of range, want 1 to 64"},
 		{"more accelerators than any worker", "accelerators = 8\nadjacency = rack\nrep", "accelerators = 9\nadjacency = rack\nrep", 14, "can run in none of the described zones"},
@@ -101,11 +101,11 @@
 		{"guarantees too large together", "[target", "[guarantee kiosks.more]\nzones = leon\nmembers = 3\naccelerators = 8\n[target", 29, "cannot be kept beside the guarantees before it"},
 		{"more racks than workers", "racks = 2", "racks = 5", 3, "5 racks for 4 workers"},
 		{"stopped but not repeatable", "repeatable = false", "repeatable = false\nstoppable = true", 19, "cannot be stopped and started again"},
-		{"value over several lines", "weight = 2", "weight = `2\n`", 22, "values over several lines"},
+		{"value over several lines", "weight = 2", "weight = `2\n`", 22, "multi-line values"},
 		{"reference to a key", "weight = 2", "weight = %(weight)s", 22, "references to other keys"},
 		{"not UTF-8", "weight = 2", "weight = \xff", 22, "not UTF-8"},
 		{"control character", "weight = 2", "weight = 2\x00", 22, "control character U+0000"},
-		{"very long line", "weight = 2", "weight = " + strings.Repeat("2", 70000), 22, "at most 65536"},
+		{"very long line", "weight = 2", "weight = " + strings.Repeat("2", 70000), 22, "the limit is 65536"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -217,7 +217,7 @@
 		}
 		lines := strings.Count(string(body), "\n") + 1
 		for _, fault := range faults {
-			whole := strings.HasPrefix(fault.Reason, "empty text") || strings.HasPrefix(fault.Reason, "text of")
+			whole := strings.HasPrefix(fault.Reason, "empty text") || strings.HasPrefix(fault.Reason, "text has")
 			if fault.Reason == "" || fault.Line > lines || fault.Line < 1 && !whole {
 				t.Fatalf("fault without a place or reason: %+v", fault)
 			}
--- a/internal/host/settings/parse.go
+++ b/internal/host/settings/parse.go
@@ -87,7 +87,7 @@
 	}
 	for _, at := range d.Sections() {
 		if known[at.Name()] {
-			at.Unknown()
+			at.CheckUnknownKeys()
 			continue
 		}
 		at.Fault("", "unknown section; known are host, platform, tls, operator, limits")
--- a/internal/host/settings/settings_test.go
+++ b/internal/host/settings/settings_test.go
@@ -50,7 +50,7 @@
 		{"unknown section", "[limits]", "[limit]", "line 9: [limit] unknown section"},
 		{"missing key", "zone = bajio-1\n", "", "line 1: [host] zone: missing"},
 		{"missing section", "[platform]\naddress = 127.0.0.1:7000\n", "", "host.ini: [platform] address: missing"},
-		{"empty value", "zone = bajio-1", "zone =", "line 2: [host] zone: without a value"},
+		{"empty value", "zone = bajio-1", "zone =", "line 2: [host] zone: empty value"},
 		{"bad duration", "90s", "90", `line 10: [limits] maxWait: "90" is not a duration`},
 		{"out of range", "90s", "-1s", `line 10: [limits] maxWait: "-1s" is out of range, want 0s to 24h0m0s`},
 		{"short hash", "9f86d08", "9f", "line 8: [operator] keyHash: not a SHA-256"},
