--- a/internal/config/text/account.go
+++ b/internal/config/text/account.go
@@ -8,59 +8,59 @@
 	"guavaglade.example/guavaglade/internal/fleet/shape"
 )
 
-// The bounds of an account's weight among borrowers.
+// The range of an account's weight among borrowers.
 const (
-	leastWeight = 0.001
-	mostWeight  = 1000
+	minWeight = 0.001
+	maxWeight = 1000
 )
 
-// mostGangs bounds the count of one guarantee.
-const mostGangs = 1 << 16
+// maxGuaranteeCount is the maximum count of one guarantee.
+const maxGuaranteeCount = 1 << 16
 
-// hashBytes is the length of a SHA-256.
-const hashBytes = 32
+// keyHashBytes is the length of a SHA-256 hash.
+const keyHashBytes = 32
 
-func (r *reader) account(name string, at *document.Section) {
-	at.Require("keyHash")
+func (r *reader) account(name string, section *document.Section) {
+	section.Require("keyHash")
 	a := Account{
 		name:     name,
-		keyHash:  strings.ToLower(at.Text("keyHash", "")),
-		weight:   at.Float("weight", 1, leastWeight, mostWeight),
-		operator: at.Bool("operator", false),
+		keyHash:  strings.ToLower(section.Text("keyHash", "")),
+		weight:   section.Float("weight", 1, minWeight, maxWeight),
+		operator: section.Bool("operator", false),
 	}
 	if a.keyHash != "" {
-		if b, err := hex.DecodeString(a.keyHash); err != nil || len(b) != hashBytes {
-			at.Fault("keyHash", "not a SHA-256 of 64 hexadecimal digits")
+		if b, err := hex.DecodeString(a.keyHash); err != nil || len(b) != keyHashBytes {
+			section.Fault("keyHash", "not a SHA-256 hash of 64 hexadecimal digits")
 		}
 	}
-	if !named(at, name) {
+	if !checkName(section, name) {
 		return
 	}
 	r.config.accounts[name] = a
-	r.accounts = append(r.accounts, at)
+	r.accounts = append(r.accounts, section)
 }
 
-func (r *reader) guarantee(full string, at *document.Section) {
-	at.Require("zones")
-	zones := at.List("zones")
-	count := at.Int("count", 1, 1, mostGangs)
-	s, shaped := shapeOf(at)
-	account, _, ok := owned(at, full)
-	if !ok || !shaped {
+func (r *reader) guarantee(fullName string, section *document.Section) {
+	section.Require("zones")
+	zones := section.List("zones")
+	count := section.Int("count", 1, 1, maxGuaranteeCount)
+	s, shapeOK := readShape(section)
+	account, _, ok := splitOwnedName(section, fullName)
+	if !ok || !shapeOK {
 		return
 	}
 	g := shape.Guarantee{Account: account, Shape: s, Count: count}
 	for _, zone := range zones {
 		r.config.guarantees[zone] = append(r.config.guarantees[zone], g)
 	}
-	r.guarantees = append(r.guarantees, promise{at, g, zones})
+	r.guarantees = append(r.guarantees, guaranteeSection{section, g, zones})
 }
 
-func (r *reader) target(name string, at *document.Section) {
-	leaving := at.Bool("leaving", false)
+func (r *reader) target(name string, section *document.Section) {
+	draining := section.Bool("leaving", false)
 	if !targetName.MatchString(name) {
-		at.Faultf("", "name %q: want 1 to 255 letters, digits and . _ : / -", name)
+		section.Faultf("", "name %q: want 1 to 255 letters, digits and . _ : / -", name)
 		return
 	}
-	r.config.leaving[name] = leaving
+	r.config.draining[name] = draining
 }
--- a/internal/config/text/bench_test.go
+++ b/internal/config/text/bench_test.go
@@ -8,9 +8,9 @@
 	"guavaglade.example/guavaglade/internal/config/text"
 )
 
-// sized returns a text with zones of workers, and teams that each have two jobs
-// and, in each zone, two guarantees.
-func sized(zones, workers, teams int) []byte {
+// makeText returns a text with the given zones, workers per zone and teams. Each team
+// has two jobs and, in each zone, two guarantees.
+func makeText(zones, workers, teams int) []byte {
 	var b strings.Builder
 	var names []string
 	for z := range zones {
@@ -26,10 +26,10 @@
 	return []byte(b.String())
 }
 
-// BenchmarkParse sweeps from a user of today to the size to design for.
+// BenchmarkParse covers sizes from a present installation to the design limit.
 func BenchmarkParse(b *testing.B) {
 	for _, size := range []struct{ zones, workers, teams int }{{3, 16, 4}, {3, 132, 18}, {7, 132, 35}, {7, 132, 70}} {
-		body := sized(size.zones, size.workers, size.teams)
+		body := makeText(size.zones, size.workers, size.teams)
 		b.Run(fmt.Sprintf("zones=%d/workers=%d/teams=%d", size.zones, size.zones*size.workers, size.teams), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
--- a/internal/config/text/config.go
+++ b/internal/config/text/config.go
@@ -6,14 +6,14 @@
 	"guavaglade.example/guavaglade/internal/fleet/shape"
 )
 
-// Config is what an accepted text means. It never changes once made. A nil
-// Config has no services, accounts or guarantees.
+// Config is the immutable result of parsing a valid text. A nil Config has no
+// services, accounts or guarantees.
 type Config struct {
 	services   map[string]Service
 	accounts   map[string]Account
 	guarantees map[string][]shape.Guarantee // by zone
-	leaving    map[string]bool              // workers that an operator takes out
-	evacuated  map[string]bool              // zones in which nothing is started
+	draining   map[string]bool              // workers that an operator drains
+	evacuated  map[string]bool              // zones in which no task is started
 }
 
 // Service returns a service by name; ok is false if there is none.
@@ -50,7 +50,7 @@
 	return sortedKeys(c.accounts)
 }
 
-// Guarantees returns what is guaranteed in a zone, in the order of the text.
+// Guarantees returns the guarantees in a zone, in the order of the text.
 func (c *Config) Guarantees(zone string) []shape.Guarantee {
 	if c == nil {
 		return nil
@@ -58,7 +58,7 @@
 	return c.guarantees[zone]
 }
 
-// GuaranteedAccelerators returns how many accelerators an account is guaranteed
+// GuaranteedAccelerators returns the number of accelerators guaranteed to an account
 // over all zones.
 func (c *Config) GuaranteedAccelerators(account string) int {
 	if c == nil {
@@ -75,14 +75,14 @@
 	return n
 }
 
-// Leaving reports whether an operator takes the worker out.
-func (c *Config) Leaving(worker string) bool { return c != nil && c.leaving[worker] }
+// Draining reports whether an operator drains the worker.
+func (c *Config) Draining(worker string) bool { return c != nil && c.draining[worker] }
 
-// LeavingTargets returns the workers that an operator takes out, sorted.
-func (c *Config) LeavingTargets() []string {
+// DrainingTargets returns the workers that an operator drains, sorted.
+func (c *Config) DrainingTargets() []string {
 	var ids []string
-	for _, id := range sortedKeys(c.leaving) {
-		if c.leaving[id] {
+	for _, id := range sortedKeys(c.draining) {
+		if c.draining[id] {
 			ids = append(ids, id)
 		}
 	}
@@ -97,7 +97,7 @@
 	return sortedKeys(c.evacuated)
 }
 
-// Service is what a service wants.
+// Service holds a service's scheduling weights, dependencies, objective and job kinds.
 type Service struct {
 	name          string
 	completion    float64 // weight of completion time, 0 to 1
@@ -116,9 +116,9 @@
 // Fragmentation returns the weight of fragmentation, 0 to 1.
 func (s Service) Fragmentation() float64 { return s.fragmentation }
 
-// Weights returns the weights of completion time and fragmentation for a job that
-// the service runs: the job's own where the text gives them, or else the
-// service's. A job that is not described has the service's.
+// Weights returns the weights of completion time and fragmentation for jobs of a kind:
+// the kind's own if the text sets them, otherwise the service's. An unknown kind has
+// the service's weights.
 func (s Service) Weights(kind string) (completion, fragmentation float64) {
 	if k, ok := s.kinds[kind]; ok && k.weighted {
 		return k.completion, k.fragmentation
@@ -126,40 +126,40 @@
 	return s.completion, s.fragmentation
 }
 
-// DependsOn returns the services that this one needs.
+// DependsOn returns the names of the services that this one depends on.
 func (s Service) DependsOn() []string { return s.dependsOn }
 
 // Objective returns the service-level objective.
 func (s Service) Objective() Objective { return s.objective }
 
-// Kind returns a job that the service runs; ok is false if there is none.
+// Kind returns a job kind of the service by name; ok is false if there is none.
 func (s Service) Kind(name string) (k Kind, ok bool) {
 	k, ok = s.kinds[name]
 	return k, ok
 }
 
-// Kinds returns the names of the jobs that the service runs, sorted.
+// Kinds returns the names of the service's job kinds, sorted.
 func (s Service) Kinds() []string { return sortedKeys(s.kinds) }
 
-// Objective is a service-level objective: a share of the requests is answered
+// Objective is a service-level objective: the share of requests that must succeed
 // within a time.
 type Objective struct {
-	Target float64       // share of good requests, above 0 and below 1; 0: no objective
+	Target float64       // share of good requests, between 0 and 1 exclusive; 0: no objective
 	Within time.Duration // from submission to outcome
 }
 
-// Kind is a job that a service runs.
+// Kind describes one kind of job that a service runs.
 type Kind struct {
-	name       string
-	shape      shape.Shape
-	repeatable bool
-	urgent     bool
-	stoppable  bool
-	guaranteed bool
-	declared   time.Duration // run time, 0 if unknown
-	startIn    time.Duration // given up as not run if not started within; 0: never
-
-	weighted      bool    // the text gives the job weights of its own
+	name            string
+	shape           shape.Shape
+	repeatable      bool
+	urgent          bool
+	stoppable       bool
+	guaranteed      bool
+	declaredRunTime time.Duration // 0 if unknown
+	startIn         time.Duration // a job not started within this time ends as not run; 0: no limit
+
+	weighted      bool    // the text sets the kind's own weights
 	completion    float64 // valid if weighted
 	fragmentation float64 // valid if weighted
 }
@@ -167,32 +167,33 @@
 // Name returns the kind's name.
 func (k Kind) Name() string { return k.name }
 
-// Shape returns what a gang of the kind asks for.
+// Shape returns the resources that a gang of the kind requests.
 func (k Kind) Shape() shape.Shape { return k.shape }
 
-// Repeatable reports whether a job of the kind may be started again.
+// Repeatable reports whether a job of the kind may be restarted.
 func (k Kind) Repeatable() bool { return k.repeatable }
 
-// Urgent reports whether jobs of the kind go before others.
+// Urgent reports whether jobs of the kind take precedence over others.
 func (k Kind) Urgent() bool { return k.urgent }
 
 // Stoppable reports whether jobs of the kind may be checkpointed and stopped.
 func (k Kind) Stoppable() bool { return k.stoppable }
 
-// Guaranteed reports whether jobs of the kind ask for guaranteed room.
+// Guaranteed reports whether jobs of the kind request guaranteed capacity.
 func (k Kind) Guaranteed() bool { return k.guaranteed }
 
-// Declared returns the run time as declared, 0 if unknown.
-func (k Kind) Declared() time.Duration { return k.declared }
+// DeclaredRunTime returns the run time set in the text, 0 if unknown.
+func (k Kind) DeclaredRunTime() time.Duration { return k.declaredRunTime }
 
-// StartIn returns how long a job may wait before it is given up, 0 for ever.
+// StartIn returns how long a job may wait for its start before it ends as not run, 0
+// if there is no limit.
 func (k Kind) StartIn() time.Duration { return k.startIn }
 
 // Account is a client account.
 type Account struct {
 	name     string
 	keyHash  string  // SHA-256 of the key, hexadecimal
-	weight   float64 // share among borrowers, above 0
+	weight   float64 // weight among borrowers, above 0
 	operator bool    // may change the configuration
 }
 
@@ -202,7 +203,7 @@
 // KeyHash returns the SHA-256 of the account's key in hexadecimal.
 func (a Account) KeyHash() string { return a.keyHash }
 
-// Weight returns the account's share among borrowers, above 0.
+// Weight returns the account's weight among borrowers, above 0.
 func (a Account) Weight() float64 { return a.weight }
 
 // Operator reports whether the account may read and change the configuration.
--- a/internal/config/text/doc.go
+++ b/internal/config/text/doc.go
@@ -1,16 +1,16 @@
-// Package text reads the configuration text by which operators drive the
-// system, and checks it.
+// Package text parses and validates the configuration text that operators write.
 //
-// The text is INI, read by package document. Its sections are named by a kind
-// and a name, and may stand in any order:
+// The text is INI, read by package document. Each section header consists of a kind
+// and a name; sections may appear in any order:
 //
-//	[zone NAME]               an availability zone's racks and workers, if described
-//	[service NAME]            what a service wants: weights, objective, dependencies
-//	[job SERVICE.NAME]        a job the service runs, with its shape
+//	[zone NAME]               racks and workers of an availability zone, optional
+//	[service NAME]            weights, objective and dependencies of a service
+//	[job SERVICE.NAME]        a kind of job that the service runs, with its shape
 //	[account NAME]            a client account: hashed key and weight
-//	[guarantee ACCOUNT.NAME]  a guaranteed shape of the account, per zone
-//	[target NAME]             an operator's word on a worker
+//	[guarantee ACCOUNT.NAME]  a shape guaranteed to the account, per zone
+//	[target NAME]             whether a worker is drained
+//	[evacuation ZONE]         whether a zone is evacuated
 //
-// Check finds all faults of a text at once, each with its line. A Config is the
-// meaning of a text without faults.
+// Check returns all faults of a text, each with its line number. Parse returns a
+// Config if the text has no faults.
 package text
--- a/internal/config/text/evacuation_test.go
+++ b/internal/config/text/evacuation_test.go
@@ -27,8 +27,8 @@
 	is.Equal((*text.Config)(nil).Evacuated(), []string(nil))
 }
 
-// Operators evacuate and restore zones of a text in any order: it means what they did,
-// and keeps all of its other lines.
+// Evacuates and restores zones in random order. The resulting text must evacuate the
+// expected zones and keep its other lines.
 func TestSetEvacuated(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		body, want := []byte(twoZones), map[string]bool{}
@@ -47,15 +47,15 @@
 			t.Fatal(err)
 		}
 		got := fmt.Sprint(c.Evacuated())
-		if expected := fmt.Sprint(zonesThat(want)); got != expected || !strings.HasPrefix(string(body), strings.TrimRight(twoZones, "\n")) {
-			t.Fatalf("%s, want %s\n%s", got, expected, body)
+		if expected := fmt.Sprint(selectedZones(want)); got != expected || !strings.HasPrefix(string(body), strings.TrimRight(twoZones, "\n")) {
+			t.Fatalf("evacuated %s, want %s\n%s", got, expected, body)
 		}
 	})
 }
 
-func zonesThat(are map[string]bool) (zones []string) {
+func selectedZones(selected map[string]bool) (zones []string) {
 	for _, z := range []string{"celaya", "leon"} {
-		if are[z] {
+		if selected[z] {
 			zones = append(zones, z)
 		}
 	}
--- a/internal/config/text/parse.go
+++ b/internal/config/text/parse.go
@@ -9,10 +9,10 @@
 	"guavaglade.example/guavaglade/internal/fleet/shape"
 )
 
-// Fault is one thing that is wrong with a text: line, section, key and reason.
+// Fault describes one error in a text: line, section, key and reason.
 type Fault = document.Fault
 
-// Faults is all that is wrong with a text, sorted by line.
+// Faults holds all faults of a text, sorted by line.
 type Faults = document.Faults
 
 var (
@@ -20,8 +20,8 @@
 	targetName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/-]{0,254}$`)
 )
 
-// Parse reads a text and returns what it means. If the text has faults it
-// returns them all, as Faults.
+// Parse returns the configuration that a text describes. If the text has faults, the
+// error is of type Faults and contains all of them.
 func Parse(body []byte) (*Config, error) {
 	c, faults := read(body)
 	if err := faults.Err(); err != nil {
@@ -30,29 +30,29 @@
 	return c, nil
 }
 
-// Check returns all that is wrong with a text, nil if nothing is.
+// Check returns all faults of a text, nil if there are none.
 func Check(body []byte) Faults {
 	_, faults := read(body)
 	return faults
 }
 
-// reader takes a document through the checks. The sections are kept by name,
-// so that a check across sections can name a line.
+// reader converts a document to a Config. It keeps the sections, so that faults found
+// by checks across sections have line numbers.
 type reader struct {
 	doc        *document.Document
 	config     *Config
 	zones      map[string]*zone
-	services   []*document.Section // in the order of the text, as the others
+	services   []*document.Section // in the order of the text, as below
 	jobs       []*document.Section
 	accounts   []*document.Section
-	guarantees []promise
+	guarantees []guaranteeSection
 }
 
-// promise is a guarantee with its section.
-type promise struct {
-	at    *document.Section
-	value shape.Guarantee
-	zones []string
+// guaranteeSection is a guarantee and the section that defines it.
+type guaranteeSection struct {
+	section *document.Section
+	value   shape.Guarantee
+	zones   []string
 }
 
 func read(body []byte) (*Config, Faults) {
@@ -62,23 +62,23 @@
 			services:   map[string]Service{},
 			accounts:   map[string]Account{},
 			guarantees: map[string][]shape.Guarantee{},
-			leaving:    map[string]bool{},
+			draining:   map[string]bool{},
 			evacuated:  map[string]bool{},
 		},
 		zones: map[string]*zone{},
 	}
-	r.sections()
-	r.references()
-	r.fits()
+	r.readSections()
+	r.checkReferences()
+	r.checkCapacity()
 	return r.config, r.doc.Faults()
 }
 
-// sections reads the sections kind by kind, so that their order in the text
+// readSections reads the sections grouped by kind, so that their order in the text
 // does not matter.
-func (r *reader) sections() {
+func (r *reader) readSections() {
 	kinds := []struct {
 		name string
-		read func(name string, at *document.Section)
+		read func(name string, section *document.Section)
 	}{
 		{"zone", r.zone},
 		{"service", r.service},
@@ -90,55 +90,55 @@
 	}
 	known := map[*document.Section]bool{}
 	for _, k := range kinds {
-		for _, at := range r.doc.Sections() {
-			kind, name, _ := strings.Cut(at.Name(), " ")
+		for _, section := range r.doc.Sections() {
+			kind, name, _ := strings.Cut(section.Name(), " ")
 			if kind != k.name {
 				continue
 			}
-			known[at] = true
-			k.read(name, at)
-			at.CheckUnknownKeys()
+			known[section] = true
+			k.read(name, section)
+			section.CheckUnknownKeys()
 		}
 	}
-	for _, at := range r.doc.Sections() {
-		if !known[at] {
-			at.Fault("", "unknown kind of section; known are zone, service, job, account, guarantee, target, evacuation")
+	for _, section := range r.doc.Sections() {
+		if !known[section] {
+			section.Fault("", "unknown kind of section; known are zone, service, job, account, guarantee, target, evacuation")
 		}
 	}
 	if len(r.doc.Sections()) == 0 && len(r.doc.Faults()) == 0 {
-		r.doc.Fault("empty text: it would take all services and client accounts out of force")
+		r.doc.Fault("empty text: it would remove all services and client accounts")
 	}
 }
 
-// named reports whether a name is plain, and notes a fault if it is not.
-func named(at *document.Section, name string) bool {
+// checkName reports whether a name is valid, and adds a fault if it is not.
+func checkName(section *document.Section, name string) bool {
 	if plainName.MatchString(name) {
 		return true
 	}
-	at.Faultf("", "name %q: want 1 to 63 letters, digits, dashes and underscores", name)
+	section.Faultf("", "name %q: want 1 to 63 letters, digits, dashes and underscores", name)
 	return false
 }
 
-// owned cuts OWNER.NAME, and notes a fault if it is not that.
-func owned(at *document.Section, full string) (owner, name string, ok bool) {
-	owner, name, ok = strings.Cut(full, ".")
+// splitOwnedName splits OWNER.NAME, and adds a fault if the name has another form.
+func splitOwnedName(section *document.Section, fullName string) (owner, name string, ok bool) {
+	owner, name, ok = strings.Cut(fullName, ".")
 	if !ok {
-		at.Faultf("", "name %q: want OWNER.NAME with a dot", full)
+		section.Faultf("", "name %q: want OWNER.NAME with a dot", fullName)
 		return "", "", false
 	}
-	return owner, name, named(at, owner) && named(at, name)
+	return owner, name, checkName(section, owner) && checkName(section, name)
 }
 
-func shapeOf(at *document.Section) (s shape.Shape, ok bool) {
-	const memoryDefault = 1024 // MB
-	members := at.Int("members", 1, 1, shape.MaxMembers)
-	accelerators := at.Int("accelerators", 0, 0, shape.MaxAccelerators)
-	cores := at.Int("cores", 1, 0, 1<<16)
-	memory := at.Int("memory", memoryDefault, 0, 1<<30)
-	adjacency := at.Choice("adjacency", string(shape.Any), string(shape.Any), string(shape.SameRack), string(shape.SameWorker))
+func readShape(section *document.Section) (s shape.Shape, ok bool) {
+	const defaultMemory = 1024 // MB
+	members := section.Int("members", 1, 1, shape.MaxMembers)
+	accelerators := section.Int("accelerators", 0, 0, shape.MaxAccelerators)
+	cores := section.Int("cores", 1, 0, 1<<16)
+	memory := section.Int("memory", defaultMemory, 0, 1<<30)
+	adjacency := section.Choice("adjacency", string(shape.Any), string(shape.Any), string(shape.SameRack), string(shape.SameWorker))
 	s, err := shape.NewShape(members, accelerators, cores, memory, shape.Adjacency(adjacency))
 	if err != nil {
-		at.Fault("", err.Error())
+		section.Fault("", err.Error())
 		return shape.Shape{}, false
 	}
 	return s, true
--- a/internal/config/text/parse_test.go
+++ b/internal/config/text/parse_test.go
@@ -15,14 +15,14 @@
 	"guavaglade.example/guavaglade/internal/proof/seeded"
 )
 
-// sound is a text without faults, which the cases break.
+// valid is a text without faults, which the test cases modify.
 //
-//go:embed testdata/sound.ini
-var sound string
+//go:embed testdata/valid.ini
+var valid string
 
-func TestJobHasItsOwnWeights(t *testing.T) {
+func TestJobWeightsOverrideService(t *testing.T) {
 	is := is.New(t)
-	c, err := text.Parse([]byte(strings.Replace(sound, "declared = 2s", "completionWeight = 0.1\nfragmentationWeight = 1", 1)))
+	c, err := text.Parse([]byte(strings.Replace(valid, "declared = 2s", "completionWeight = 0.1\nfragmentationWeight = 1", 1)))
 	is.NoErr(err)
 	s, _ := c.Service("refill")
 	completion, fragmentation := s.Weights("order")
@@ -33,7 +33,7 @@
 
 func TestParse(t *testing.T) {
 	is := is.New(t)
-	c, err := text.Parse([]byte(sound))
+	c, err := text.Parse([]byte(valid))
 	is.NoErr(err)
 	is.Equal(c.Services(), []string{"catalogue", "refill"})
 	s, ok := c.Service("refill")
@@ -47,13 +47,13 @@
 	is.True(!k.Repeatable())
 	is.True(!k.Stoppable())
 	is.Equal(len(c.Guarantees("leon")), 1)
-	is.True(c.Leaving("127.0.0.1:7101"))
+	is.True(c.Draining("127.0.0.1:7101"))
 	a, ok := c.Account("kiosks")
 	is.True(ok)
 	is.True(a.Operator())
 }
 
-func TestCheckNamesEachFaultyLine(t *testing.T) {
+func TestCheckReportsFaultyLine(t *testing.T) {
 	const key = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
 	cases := []struct {
 		name, old, new string
@@ -63,45 +63,45 @@
 		{"unknown kind of section", "[target", "[worker", 29, "unknown kind of section"},
 		{"section without a name", "[service catalogue]", "[service]", 13, `name "": want`},
 		{"section not closed", "[service catalogue]", "[service catalogue", 13, "invalid section header"},
-		{"section twice", "[target 127.0.0.1:7101]", "[service refill]", 29, "duplicate section, first on line 7"},
+		{"duplicate section", "[target 127.0.0.1:7101]", "[service refill]", 29, "duplicate section, first on line 7"},
 		{"key before any section", "[zone leon]\n", "racks = 1\n[zone leon]\n", 1, "key before the first section"},
 		{"unknown key", "weight = 2", "wieght = 2", 22, "unknown key; known here: keyHash, weight, operator"},
-		{"key twice", "weight = 2", "weight = 2\nweight = 3", 23, "weight: duplicate key, first on line 22"},
+		{"duplicate key", "weight = 2", "weight = 2\nweight = 3", 23, "weight: duplicate key, first on line 22"},
 		{"no equals sign", "weight = 2", "weight 2", 22, "no equals sign"},
-		{"no value", "weight = 2", "weight =", 22, "empty value"},
+		{"empty value", "weight = 2", "weight =", 22, "empty value"},
 		{"bad number", "members = 2", "members = two", 15, `"two" is not a whole number`},
-		{"octal is not read as such", "members = 2", "members = 0x2", 15, "not a whole number"},
-		{"not a number at all", "completionWeight = 0.8", "completionWeight = NaN", 8, "out of range, want 0 to 1"},
+		{"hexadecimal number", "members = 2", "members = 0x2", 15, "not a whole number"},
+		{"NaN", "completionWeight = 0.8", "completionWeight = NaN", 8, "out of range, want 0 to 1"},
 		{"weight out of range", "completionWeight = 0.8", "completionWeight = 1.5", 8, "out of range, want 0 to 1"},
 		{"both weights 0", "Weight = 0.8\nfragmentationWeight = 0.2", "Weight = 0\nfragmentationWeight = 0", 8, "both weights are 0"},
-		{"half of a job's weights", "declared = 2s", "declared = 2s\ncompletionWeight = 1", 14, "set together"},
+		{"one of a job's weights", "declared = 2s", "declared = 2s\ncompletionWeight = 1", 14, "set together"},
 		{"both weights of a job 0", "declared = 2s", "completionWeight = 0\nfragmentationWeight = 0", 19, "both weights are 0"},
 		{"bad duration", "declared = 2s", "declared = 2", 19, `"2" is not a duration`},
 		{"bad boolean", "repeatable = false", "repeatable = never", 18, `"never" is not true or false`},
 		{"objective out of range", "objectiveTarget = 0.99", "objectiveTarget = 99", 10, "out of range"},
-		{"half an objective", "objectiveWithin = 10s\n", "", 7, "set together"},
+		{"objective without a time", "objectiveWithin = 10s\n", "", 7, "set together"},
 		{"missing key hash", "keyHash = " + key + "\n", "", 20, "missing"},
 		{"key hash not hexadecimal", "9f86d0", "9g86d0", 21, "not a SHA-256"},
 		{"key hash too short", "9f86d0", "9f", 21, "not a SHA-256"},
-		{"key of two accounts", "[target", "[account salons]\nkeyHash = " + key + "\n[target", 30, "is the key of account kiosks"},
+		{"key shared by two accounts", "[target", "[account salons]\nkeyHash = " + key + "\n[target", 30, "same key as account kiosks"},
 		{"no operator", "operator = true", "operator = false", 23, "nobody could change"},
 		{"unknown service of a job", "[job refill.", "[job refil.", 14, `service "refil" is not described`},
 		{"unknown dependency", "dependsOn = catalogue", "dependsOn = catalog", 12, `service "catalog" is not described`},
-		{"cycle of dependencies", "[service catalogue]", "[service catalogue]\ndependsOn = refill", 12, "refill -> catalogue -> refill"},
-		{"cycle of one", "[service catalogue]", "[service catalogue]\ndependsOn = catalogue", 14, "catalogue -> catalogue"},
+		{"dependency cycle", "[service catalogue]", "[service catalogue]\ndependsOn = refill", 12, "refill -> catalogue -> refill"},
+		{"service that depends on itself", "[service catalogue]", "[service catalogue]\ndependsOn = catalogue", 14, "catalogue -> catalogue"},
 		{"unknown account of a guarantee", "[guarantee kiosks.", "[guarantee kiosk.", 24, `account "kiosk" is not described`},
 		{"name without an owner", "[guarantee kiosks.orders]", "[guarantee kiosks]", 24, "want OWNER.NAME"},
 		{"unknown zone of a guarantee", "zones = leon", "zones = leon, lyon", 25, `zone "lyon" is not described`},
-		{"empty part of a list", "zones = leon", "zones = leon,,", 25, "empty element in the list"},
+		{"empty element of a list", "zones = leon", "zones = leon,,", 25, "empty element in the list"},
 		{"unknown adjacency", "adjacency = rack\nrep", "adjacency = row\nrep", 17, `"row" is not one of any, rack, worker`},
 		{"too many members", "members = 2", "members = 65", 15, "out of range, want 1 to 64"},
-		{"more accelerators than any worker", "accelerators = 8\nadjacency = rack\nrep", "accelerators = 9\nadjacency = rack\nrep", 14, "can run in none of the described zones"},
+		{"more accelerators than any worker", "accelerators = 8\nadjacency = rack\nrep", "accelerators = 9\nadjacency = rack\nrep", 14, "fits in none of the described zones"},
 		{"guarantee larger than a rack", "members = 2\naccelerators = 8\nadjacency = rack\n[", "members = 3\naccelerators = 8\nadjacency = rack\n[", 24, "zone leon: "},
-		{"more gangs than racks", "zones = leon\n", "zones = leon\ncount = 3\n", 24, "cannot be kept beside the guarantees before it"},
-		{"guarantees too large together", "[target", "[guarantee kiosks.more]\nzones = leon\nmembers = 3\naccelerators = 8\n[target", 29, "cannot be kept beside the guarantees before it"},
+		{"more gangs than racks", "zones = leon\n", "zones = leon\ncount = 3\n", 24, "does not fit beside the guarantees before it"},
+		{"guarantees too large together", "[target", "[guarantee kiosks.more]\nzones = leon\nmembers = 3\naccelerators = 8\n[target", 29, "does not fit beside the guarantees before it"},
 		{"more racks than workers", "racks = 2", "racks = 5", 3, "5 racks for 4 workers"},
-		{"stopped but not repeatable", "repeatable = false", "repeatable = false\nstoppable = true", 19, "cannot be stopped and started again"},
-		{"value over several lines", "weight = 2", "weight = `2\n`", 22, "multi-line values"},
+		{"stoppable but not repeatable", "repeatable = false", "repeatable = false\nstoppable = true", 19, "cannot be stopped and started again"},
+		{"multi-line value", "weight = 2", "weight = `2\n`", 22, "multi-line values"},
 		{"reference to a key", "weight = 2", "weight = %(weight)s", 22, "references to other keys"},
 		{"not UTF-8", "weight = 2", "weight = \xff", 22, "not UTF-8"},
 		{"control character", "weight = 2", "weight = 2\x00", 22, "control character U+0000"},
@@ -110,8 +110,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.True(strings.Contains(sound, c.old)) // the case changes something
-			faults := text.Check([]byte(strings.Replace(sound, c.old, c.new, 1)))
+			is.True(strings.Contains(valid, c.old)) // the case modifies the text
+			faults := text.Check([]byte(strings.Replace(valid, c.old, c.new, 1)))
 			for _, f := range faults {
 				if f.Line == c.line && strings.Contains(f.Error(), c.reason) {
 					return
@@ -122,9 +122,9 @@
 	}
 }
 
-func TestCheckTellsAllFaultsAtOnce(t *testing.T) {
+func TestCheckReportsAllFaults(t *testing.T) {
 	is := is.New(t)
-	body := strings.NewReplacer("weight = 2", "weight = x", "racks = 2", "racks 2", "[target", "[trgt").Replace(sound)
+	body := strings.NewReplacer("weight = 2", "weight = x", "racks = 2", "racks 2", "[target", "[trgt").Replace(valid)
 	_, err := text.Parse([]byte(body))
 	var faults text.Faults
 	is.True(errors.As(err, &faults))
@@ -135,34 +135,34 @@
 	is.Equal(lines, []int{3, 22, 29})
 }
 
-func TestCheckOfTextsAsAWhole(t *testing.T) {
+func TestCheckWholeTexts(t *testing.T) {
 	cases := []struct {
 		name, body string
-		sound      bool
+		valid      bool
 	}{
 		{"empty", "", false},
 		{"comments only", "# nothing\n; at all\n", false},
-		{"CRLF", strings.ReplaceAll(sound, "\n", "\r\n"), true},
-		{"byte order mark", "\ufeff" + sound, true},
-		{"no newline at the end", strings.TrimSpace(sound), true},
-		{"comments after values", strings.ReplaceAll(sound, "weight = 2", "weight = 2 # twice a salon"), true},
-		{"spaces in a section", strings.ReplaceAll(sound, "[service refill]", " [ service  refill ] ; kiosks"), true},
+		{"CRLF", strings.ReplaceAll(valid, "\n", "\r\n"), true},
+		{"byte order mark", "\ufeff" + valid, true},
+		{"no newline at the end", strings.TrimSpace(valid), true},
+		{"comments after values", strings.ReplaceAll(valid, "weight = 2", "weight = 2 # twice a salon"), true},
+		{"spaces in a section", strings.ReplaceAll(valid, "[service refill]", " [ service  refill ] ; kiosks"), true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			faults := text.Check([]byte(c.body))
-			if (len(faults) == 0) != c.sound {
+			if (len(faults) == 0) != c.valid {
 				t.Fatalf("got faults\n%v", faults)
 			}
 		})
 	}
 }
 
-// TestSectionsMayStandInAnyOrder has the sections shuffled: what the text
-// means must be the same, but for the order of guarantees.
-func TestSectionsMayStandInAnyOrder(t *testing.T) {
-	parts := strings.Split(strings.TrimPrefix(sound, "["), "\n[")
-	want, err := text.Parse([]byte(sound))
+// TestSectionOrderDoesNotMatter shuffles the sections. The configuration must stay the
+// same.
+func TestSectionOrderDoesNotMatter(t *testing.T) {
+	parts := strings.Split(strings.TrimPrefix(valid, "["), "\n[")
+	want, err := text.Parse([]byte(valid))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,7 +175,7 @@
 	})
 }
 
-func TestExamplesAreSound(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	for _, name := range []string{"recargaBella", "spf"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -183,12 +183,13 @@
 			is.NoErr(err)
 			c, err := text.Parse(body)
 			is.NoErr(err)
-			is.Equal(len(c.Accounts()), 5) // four client accounts and the automation
+			is.Equal(len(c.Accounts()), 5) // four clients and the automation
 		})
 	}
 }
 
-// TestEachKeyIsDocumented takes the keys from the faults that name those known.
+// TestEachKeyIsDocumented takes the keys from the fault of an unknown key, which lists
+// the known ones.
 func TestEachKeyIsDocumented(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../../docs/CONFIGURATION.md")
@@ -207,19 +208,19 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(sound))
+	f.Add([]byte(valid))
 	f.Add([]byte("\ufeff[zone a]\r\nworkers = 0\r\n[job a.b]\nmembers = -1\n"))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		faults := text.Check(body)
 		c, err := text.Parse(body)
 		if (err == nil) != (len(faults) == 0) || (err == nil) != (c != nil) {
-			t.Fatalf("Parse gave %v, Check %v", err, faults)
+			t.Fatalf("Parse returned %v, Check %v", err, faults)
 		}
 		lines := strings.Count(string(body), "\n") + 1
 		for _, fault := range faults {
 			whole := strings.HasPrefix(fault.Reason, "empty text") || strings.HasPrefix(fault.Reason, "text has")
 			if fault.Reason == "" || fault.Line > lines || fault.Line < 1 && !whole {
-				t.Fatalf("fault without a place or reason: %+v", fault)
+				t.Fatalf("fault without a line or reason: %+v", fault)
 			}
 		}
 	})
--- a/internal/config/text/references.go
+++ b/internal/config/text/references.go
@@ -5,94 +5,95 @@
 	"strings"
 )
 
-// references checks what one section says of another.
-func (r *reader) references() {
-	r.dependencies()
-	r.cycles()
-	r.keys()
-	for _, p := range r.guarantees {
-		account := p.value.Account
+// checkReferences checks the references between sections.
+func (r *reader) checkReferences() {
+	r.checkDependencies()
+	r.checkCycles()
+	r.checkKeys()
+	for _, g := range r.guarantees {
+		account := g.value.Account
 		if _, ok := r.config.accounts[account]; !ok {
-			p.at.Faultf("", "account %q is not described; add [account %s]", account, account)
+			g.section.Faultf("", "account %q is not described; add [account %s]", account, account)
 		}
 	}
 }
 
-func (r *reader) dependencies() {
-	for _, at := range r.services {
-		for _, name := range r.config.services[serviceName(at.Name())].dependsOn {
+func (r *reader) checkDependencies() {
+	for _, section := range r.services {
+		for _, name := range r.config.services[serviceName(section.Name())].dependsOn {
 			if _, ok := r.config.services[name]; !ok {
-				at.Faultf("dependsOn", "service %q is not described; add [service %s]", name, name)
+				section.Faultf("dependsOn", "service %q is not described; add [service %s]", name, name)
 			}
 		}
 	}
 }
 
-// keys refuses a key that two accounts share: a request with it could be of
-// either. It refuses a text that leaves no operator, as nobody could replace it.
-func (r *reader) keys() {
-	owner := map[string]string{}
+// checkKeys rejects a key that two accounts share, since the account of a request with
+// it would be ambiguous. It also rejects a text without an operator, since nobody could
+// replace it.
+func (r *reader) checkKeys() {
+	accountOf := map[string]string{}
 	operators := 0
-	for _, at := range r.accounts {
-		a := r.config.accounts[strings.TrimPrefix(at.Name(), "account ")]
+	for _, section := range r.accounts {
+		a := r.config.accounts[strings.TrimPrefix(section.Name(), "account ")]
 		if a.operator {
 			operators++
 		}
-		if first, ok := owner[a.keyHash]; ok && a.keyHash != "" {
-			at.Faultf("keyHash", "is the key of account %s as well", first)
+		if first, ok := accountOf[a.keyHash]; ok && a.keyHash != "" {
+			section.Faultf("keyHash", "same key as account %s", first)
 			continue
 		}
-		owner[a.keyHash] = a.name
+		accountOf[a.keyHash] = a.name
 	}
 	if len(r.accounts) > 0 && operators == 0 {
 		r.accounts[0].Fault("operator", "no account has operator = true; nobody could change this configuration")
 	}
 }
 
-// cycles names the services that depend on each other in a cycle, at the one
-// that stands first in the text. Each such service is named at least once.
-func (r *reader) cycles() {
-	named := map[string]bool{}
-	for _, at := range r.services {
-		name := serviceName(at.Name())
-		path := r.backTo(name)
-		if path == nil || named[name] {
+// checkCycles reports cycles of dependencies, each at the service that comes first in
+// the text. Each service on a cycle is reported at least once.
+func (r *reader) checkCycles() {
+	reported := map[string]bool{}
+	for _, section := range r.services {
+		name := serviceName(section.Name())
+		path := r.findCycle(name)
+		if path == nil || reported[name] {
 			continue
 		}
 		for _, n := range path {
-			named[n] = true
+			reported[n] = true
 		}
-		at.Faultf("dependsOn", "services depend on each other in a cycle: %s", strings.Join(path, " -> "))
+		section.Faultf("dependsOn", "services depend on each other in a cycle: %s", strings.Join(path, " -> "))
 	}
 }
 
-// backTo returns a shortest way along the dependencies from a service to
-// itself, with the service at both ends; nil if there is none.
-func (r *reader) backTo(name string) []string {
-	from := map[string]string{} // how a service was reached
-	for reached := []string{name}; len(reached) > 0; reached = reached[1:] {
-		for _, next := range r.config.services[reached[0]].dependsOn {
-			if _, seen := from[next]; seen {
+// findCycle returns a shortest path along the dependencies from a service to itself,
+// with the service at both ends; nil if there is none.
+func (r *reader) findCycle(name string) []string {
+	predecessor := map[string]string{} // service from which each service was reached
+	for queue := []string{name}; len(queue) > 0; queue = queue[1:] {
+		for _, next := range r.config.services[queue[0]].dependsOn {
+			if _, visited := predecessor[next]; visited {
 				continue
 			}
-			from[next] = reached[0]
+			predecessor[next] = queue[0]
 			if next == name {
-				return wayBack(from, name)
+				return cyclePath(predecessor, name)
 			}
-			reached = append(reached, next)
+			queue = append(queue, next)
 		}
 	}
 	return nil
 }
 
-func wayBack(from map[string]string, name string) []string {
-	way := []string{name}
-	for at := from[name]; at != name; at = from[at] {
-		way = append(way, at)
+func cyclePath(predecessor map[string]string, name string) []string {
+	path := []string{name}
+	for node := predecessor[name]; node != name; node = predecessor[node] {
+		path = append(path, node)
 	}
-	way = append(way, name)
-	slices.Reverse(way)
-	return way
+	path = append(path, name)
+	slices.Reverse(path)
+	return path
 }
 
 func serviceName(section string) string { return strings.TrimPrefix(section, "service ") }
--- a/internal/config/text/service.go
+++ b/internal/config/text/service.go
@@ -6,82 +6,82 @@
 	"guavaglade.example/guavaglade/internal/config/document"
 )
 
-// The bounds of an objective.
+// The range of an objective.
 const (
-	leastTarget = 0.01
-	mostTarget  = 0.99999
-	leastWithin = time.Millisecond
-	mostWithin  = 30 * 24 * time.Hour
+	minObjectiveTarget = 0.01
+	maxObjectiveTarget = 0.99999
+	minObjectiveWithin = time.Millisecond
+	maxObjectiveWithin = 30 * 24 * time.Hour
 )
 
-// mostRun bounds what a job may declare as its run time, or wait to start.
-const mostRun = 30 * 24 * time.Hour
+// maxDuration is the maximum declared run time of a job, and the maximum time that it
+// may wait for its start.
+const maxDuration = 30 * 24 * time.Hour
 
-func (r *reader) service(name string, at *document.Section) {
+func (r *reader) service(name string, section *document.Section) {
 	s := Service{
 		name:          name,
-		completion:    at.Float("completionWeight", 0.5, 0, 1),
-		fragmentation: at.Float("fragmentationWeight", 0.5, 0, 1),
-		dependsOn:     at.List("dependsOn"),
+		completion:    section.Float("completionWeight", 0.5, 0, 1),
+		fragmentation: section.Float("fragmentationWeight", 0.5, 0, 1),
+		dependsOn:     section.List("dependsOn"),
 		objective: Objective{
-			Target: at.Float("objectiveTarget", 0, leastTarget, mostTarget),
-			Within: at.Duration("objectiveWithin", 0, leastWithin, mostWithin),
+			Target: section.Float("objectiveTarget", 0, minObjectiveTarget, maxObjectiveTarget),
+			Within: section.Duration("objectiveWithin", 0, minObjectiveWithin, maxObjectiveWithin),
 		},
 		kinds: map[string]Kind{},
 	}
-	if at.Has("objectiveTarget") != at.Has("objectiveWithin") {
-		at.Fault("", "objectiveTarget and objectiveWithin are set together or not at all")
+	if section.Has("objectiveTarget") != section.Has("objectiveWithin") {
+		section.Fault("", "objectiveTarget and objectiveWithin must be set together")
 	}
 	if s.completion == 0 && s.fragmentation == 0 {
-		at.Fault("completionWeight", "both weights are 0; one must be above")
+		section.Fault("completionWeight", "both weights are 0; at least one must be positive")
 	}
-	if !named(at, name) {
+	if !checkName(section, name) {
 		return
 	}
 	r.config.services[name] = s
-	r.services = append(r.services, at)
+	r.services = append(r.services, section)
 }
 
-func (r *reader) job(full string, at *document.Section) {
-	repeatable := at.Bool("repeatable", true)
-	_ = at.Bool("long", false) // older texts say it; every job that was taken is stored now
+func (r *reader) job(fullName string, section *document.Section) {
+	repeatable := section.Bool("repeatable", true)
+	_ = section.Bool("long", false) // ignored, accepted for older texts: every accepted job is stored
 	k := Kind{
-		repeatable: repeatable,
-		urgent:     at.Bool("urgent", false),
-		stoppable:  at.Bool("stoppable", false),
-		guaranteed: at.Bool("guaranteed", false),
-		declared:   at.Duration("declared", 0, 0, mostRun),
-		startIn:    at.Duration("startIn", 0, 0, mostRun),
+		repeatable:      repeatable,
+		urgent:          section.Bool("urgent", false),
+		stoppable:       section.Bool("stoppable", false),
+		guaranteed:      section.Bool("guaranteed", false),
+		declaredRunTime: section.Duration("declared", 0, 0, maxDuration),
+		startIn:         section.Duration("startIn", 0, 0, maxDuration),
 
-		weighted:      at.Has("completionWeight") || at.Has("fragmentationWeight"),
-		completion:    at.Float("completionWeight", 0, 0, 1),
-		fragmentation: at.Float("fragmentationWeight", 0, 0, 1),
+		weighted:      section.Has("completionWeight") || section.Has("fragmentationWeight"),
+		completion:    section.Float("completionWeight", 0, 0, 1),
+		fragmentation: section.Float("fragmentationWeight", 0, 0, 1),
 	}
-	if at.Has("completionWeight") != at.Has("fragmentationWeight") {
-		at.Fault("", "completionWeight and fragmentationWeight are set together or not at all")
+	if section.Has("completionWeight") != section.Has("fragmentationWeight") {
+		section.Fault("", "completionWeight and fragmentationWeight must be set together")
 	} else if k.weighted && k.completion == 0 && k.fragmentation == 0 {
-		at.Fault("completionWeight", "both weights are 0; one must be above")
+		section.Fault("completionWeight", "both weights are 0; at least one must be positive")
 	}
-	// A job that was stopped is started again, which one that may not be
-	// repeated must never be: it would run twice.
+	// A stopped job is restarted; a job that is not repeatable would run twice.
 	if k.stoppable && !k.repeatable {
-		at.Fault("stoppable", "a job that may not be repeated cannot be stopped and started again")
+		section.Fault("stoppable", "a job that is not repeatable cannot be stopped and started again")
 	}
-	var shaped, ok bool
-	k.shape, shaped = shapeOf(at)
-	owner, name, ok := owned(at, full)
+	var shapeOK, ok bool
+	k.shape, shapeOK = readShape(section)
+	owner, name, ok := splitOwnedName(section, fullName)
 	if !ok {
 		return
 	}
 	service, ok := r.config.services[owner]
 	if !ok {
-		at.Faultf("", "service %q is not described; add [service %s]", owner, owner)
+		section.Faultf("", "service %q is not described; add [service %s]", owner, owner)
 		return
 	}
-	if !shaped {
+	if !shapeOK {
 		return
 	}
 	k.name = name
 	service.kinds[name] = k
-	r.jobs = append(r.jobs, at)
+	r.jobs = append(r.jobs, section)
 }
--- a/internal/config/text/zone.go
+++ b/internal/config/text/zone.go
@@ -8,30 +8,30 @@
 	"guavaglade.example/guavaglade/internal/fleet/shape"
 )
 
-// mostWorkers bounds the workers of one zone that a text may describe.
-const mostWorkers = 1024
+// maxWorkers is the maximum number of workers of one described zone.
+const maxWorkers = 1024
 
-// zone is an availability zone as the text describes it: equal workers, spread
-// evenly over its racks. It is used to check the text only; what is really
-// there is known from the platform.
+// zone is an availability zone as the text describes it: identical workers, spread
+// evenly over its racks. It is used to validate the text only; the actual workers are
+// read from the platform.
 type zone struct {
 	name    string
 	workers []shape.Worker
 }
 
-func (r *reader) zone(name string, at *document.Section) {
-	at.Require("workers")
-	workers := at.Int("workers", 0, 1, mostWorkers)
-	racks := at.Int("racks", 1, 1, mostWorkers)
-	accelerators := at.Int("acceleratorsPerWorker", 0, 0, shape.MaxAccelerators)
-	cores := at.Int("cores", 1, 1, 1<<16)
-	memory := at.Int("memory", 1024, 1, 1<<30)
-	slots := at.Int("slots", 8, 1, 1<<16)
-	if !named(at, name) {
+func (r *reader) zone(name string, section *document.Section) {
+	section.Require("workers")
+	workers := section.Int("workers", 0, 1, maxWorkers)
+	racks := section.Int("racks", 1, 1, maxWorkers)
+	accelerators := section.Int("acceleratorsPerWorker", 0, 0, shape.MaxAccelerators)
+	cores := section.Int("cores", 1, 1, 1<<16)
+	memory := section.Int("memory", 1024, 1, 1<<30)
+	slots := section.Int("slots", 8, 1, 1<<16)
+	if !checkName(section, name) {
 		return
 	}
 	if workers > 0 && racks > workers {
-		at.Faultf("racks", "%d racks for %d workers; each rack needs one", racks, workers)
+		section.Faultf("racks", "%d racks for %d workers; each rack needs at least one worker", racks, workers)
 	}
 	z := &zone{name: name}
 	for i := range workers {
@@ -42,94 +42,96 @@
 	r.zones[name] = z
 }
 
-// fits checks that each job fits in some zone and that the guarantees of each
-// zone can be packed at once. It needs every zone to be described.
-func (r *reader) fits() {
-	rooms := map[string]*shape.Zone{}
+// checkCapacity checks that each job fits in some zone and that the guarantees of each
+// zone fit together. It does nothing if no zone is described or a zone has no valid
+// workers.
+func (r *reader) checkCapacity() {
+	capacities := map[string]*shape.Zone{}
 	for name, z := range r.zones {
 		if len(z.workers) == 0 {
-			return // its section is at fault already
+			return // already reported as a fault
 		}
-		rooms[name] = shape.NewZone(z.workers)
+		capacities[name] = shape.NewZone(z.workers)
 	}
-	if len(rooms) == 0 {
+	if len(capacities) == 0 {
 		return
 	}
-	known := map[shape.Shape]error{}
-	for _, at := range r.jobs {
-		asked := r.shapeOf(at)
-		err, ok := known[asked]
+	results := map[shape.Shape]error{}
+	for _, section := range r.jobs {
+		requested := r.jobShape(section)
+		err, ok := results[requested]
 		if !ok {
-			err = fitsAny(asked, rooms)
-			known[asked] = err
+			err = checkFitAny(requested, capacities)
+			results[requested] = err
 		}
 		if err != nil {
-			at.Faultf("", "can run in none of the described zones: %v", err)
+			section.Faultf("", "fits in none of the described zones: %v", err)
 		}
 	}
-	r.packs(rooms)
+	r.checkGuarantees(capacities)
 }
 
-// shapeOf returns the shape of the job that a section described.
-func (r *reader) shapeOf(at *document.Section) shape.Shape {
-	owner, name, _ := strings.Cut(strings.TrimPrefix(at.Name(), "job "), ".")
+// jobShape returns the shape of the job that a section describes.
+func (r *reader) jobShape(section *document.Section) shape.Shape {
+	owner, name, _ := strings.Cut(strings.TrimPrefix(section.Name(), "job "), ".")
 	return r.config.services[owner].kinds[name].shape
 }
 
-// fitsAny returns why a shape fits in none of the zones, nil if it fits in one.
-func fitsAny(s shape.Shape, rooms map[string]*shape.Zone) error {
+// checkFitAny returns nil if a shape fits in one of the zones, otherwise why it does
+// not fit in the last one.
+func checkFitAny(s shape.Shape, capacities map[string]*shape.Zone) error {
 	var last error
-	for _, zone := range sortedKeys(rooms) {
-		if last = rooms[zone].CheckFit(s); last == nil {
+	for _, zone := range sortedKeys(capacities) {
+		if last = capacities[zone].CheckFit(s); last == nil {
 			return nil
 		}
 	}
 	return last
 }
 
-// packs checks the guarantees of each zone.
-func (r *reader) packs(rooms map[string]*shape.Zone) {
-	byZone := map[string][]promise{}
-	for _, p := range r.guarantees {
-		for _, name := range p.zones {
-			if _, ok := rooms[name]; !ok {
-				p.at.Faultf("zones", "zone %q is not described; add [zone %s]", name, name)
+// checkGuarantees checks that the guarantees of each zone fit in it together.
+func (r *reader) checkGuarantees(capacities map[string]*shape.Zone) {
+	byZone := map[string][]guaranteeSection{}
+	for _, g := range r.guarantees {
+		for _, name := range g.zones {
+			if _, ok := capacities[name]; !ok {
+				g.section.Faultf("zones", "zone %q is not described; add [zone %s]", name, name)
 				continue
 			}
-			byZone[name] = append(byZone[name], p)
+			byZone[name] = append(byZone[name], g)
 		}
 	}
 	for _, name := range sortedKeys(byZone) {
-		// All at once first: a sound text of the size to design for is checked
-		// by each host with each version, and one by one takes seconds.
-		if rooms[name].Pack(valuesOf(byZone[name])) != nil {
-			packOneByOne(name, rooms[name], byZone[name])
+		// Packing one by one takes seconds for a text of the largest supported size,
+		// and every host checks every version. It is needed only to find the faults.
+		if capacities[name].Pack(guaranteesOf(byZone[name])) != nil {
+			packOneByOne(name, capacities[name], byZone[name])
 		}
 	}
 }
 
-func valuesOf(ps []promise) []shape.Guarantee {
-	gs := make([]shape.Guarantee, 0, len(ps))
-	for _, p := range ps {
-		gs = append(gs, p.value)
+func guaranteesOf(sections []guaranteeSection) []shape.Guarantee {
+	gs := make([]shape.Guarantee, 0, len(sections))
+	for _, section := range sections {
+		gs = append(gs, section.value)
 	}
 	return gs
 }
 
-// packOneByOne notes a fault for each guarantee that cannot be kept beside those
-// before it that can.
-func packOneByOne(zone string, room *shape.Zone, ps []promise) {
-	var kept []promise
-	for _, p := range ps {
-		if err := room.CheckFit(p.value.Shape); err != nil {
-			p.at.Faultf("", "zone %s: %v", zone, err)
+// packOneByOne adds a fault for each guarantee that does not fit together with the
+// accepted guarantees before it.
+func packOneByOne(zoneName string, capacity *shape.Zone, guarantees []guaranteeSection) {
+	var kept []guaranteeSection
+	for _, g := range guarantees {
+		if err := capacity.CheckFit(g.value.Shape); err != nil {
+			g.section.Faultf("", "zone %s: %v", zoneName, err)
 			continue
 		}
-		with := append(kept[:len(kept):len(kept)], p)
-		if err := room.Pack(valuesOf(with)); err != nil {
-			p.at.Faultf("", "zone %s: cannot be kept beside the guarantees before it: %v", zone, err)
+		extended := append(kept[:len(kept):len(kept)], g)
+		if err := capacity.Pack(guaranteesOf(extended)); err != nil {
+			g.section.Faultf("", "zone %s: does not fit beside the guarantees before it: %v", zoneName, err)
 			continue
 		}
-		kept = with
+		kept = extended
 	}
 }
--- a/internal/config/version/version.go
+++ b/internal/config/version/version.go
@@ -83,7 +83,7 @@
 	for _, name := range c.Accounts() {
 		accounts = append(accounts, catalog.Account{Name: name, Guaranteed: c.GuaranteedAccelerators(name)})
 	}
-	return catalog.New(number, queues, accounts, services, catalog.Limits{}, catalog.WithDraining(c.LeavingTargets()...), catalog.WithEvacuated(c.Evacuated()...))
+	return catalog.New(number, queues, accounts, services, catalog.Limits{}, catalog.WithDraining(c.DrainingTargets()...), catalog.WithEvacuated(c.Evacuated()...))
 }
 
 // Priorities of jobs. Urgent and guaranteed jobs may preempt the other two.
--- a/internal/work/request/request.go
+++ b/internal/work/request/request.go
@@ -90,7 +90,7 @@
 	s := k.Shape()
 	step := graph.Step{
 		Count: s.Members(), Gang: s.Members() > 1, SameRack: s.Adjacency() == shape.SameRack,
-		Estimate: k.Declared(), Checkpointing: k.Stoppable(),
+		Estimate: k.DeclaredRunTime(), Checkpointing: k.Stoppable(),
 		Needs: graph.Resources{CPU: s.Cores() * 1000, MemoryMB: s.Memory(), Accelerators: s.Accelerators()},
 	}
 	if s.Adjacency() == shape.SameWorker {
