--- a/internal/config/text/evacuation.go
+++ b/internal/config/text/evacuation.go
@@ -29,7 +29,7 @@
 
 // SetEvacuated returns the text with a zone's evacuation turned on or off and all other
 // lines unchanged. It reports whether the text changed.
-func SetEvacuated(body []byte, zone string, on bool) (result []byte, ok bool) {
+func SetEvacuated(body []byte, zone string, on bool) (result []byte, changed bool) {
 	header := "[" + evacuationKind + " " + zone + "]"
 	value := evacuationKey + " = false"
 	if on {
