--- a/internal/report/burn/burn_test.go
+++ b/internal/report/burn/burn_test.go
@@ -30,8 +30,9 @@
 	return r
 }
 
-// day records a steady morning with ten bad minutes before noon on two hosts.
-func day(t *testing.T) burn.Report {
+// morningReport returns the report of two hosts over six hours of steady load, in which
+// the last ten minutes have bad requests.
+func morningReport(t *testing.T) burn.Report {
 	t.Helper()
 	a, b := recorder("10.0.0.1:9080"), recorder("10.0.0.2:9080")
 	for m := range 360 {
@@ -39,7 +40,7 @@
 		latency := time.Duration(1+m%7) * time.Second
 		a.Record("refill", "kiosks", latency, m >= 10, at)
 		b.Record("refill", "salons", latency, true, at)
-		b.Record("refill", "kiosks", 11*time.Second*time.Duration(m%100/99), true, at) // four are late
+		b.Record("refill", "kiosks", 11*time.Second*time.Duration(m%100/99), true, at) // late at 99, 199 and 299 minutes
 		a.Record("catalogue", "salons", time.Millisecond, m%2 == 0, at)                // no objective
 	}
 	all, err := burn.Merge(a.Snapshot(noon), b.Snapshot(noon))
@@ -55,7 +56,7 @@
 
 func TestReportIsWrittenAsTextJSONAndSVG(t *testing.T) {
 	is := is.New(t)
-	r := day(t)
+	r := morningReport(t)
 	for name, write := range map[string]func(*bytes.Buffer) error{
 		"report.txt":  func(b *bytes.Buffer) error { return r.WriteText(b) },
 		"report.json": func(b *bytes.Buffer) error { return r.WriteJSON(b) },
@@ -67,7 +68,7 @@
 	}
 }
 
-// request is one request as the slow version keeps it.
+// request is one request as the reference implementation keeps it.
 type request struct {
 	host, service, account int
 	latency                time.Duration
@@ -75,13 +76,13 @@
 	at                     time.Time
 }
 
-func name(n int) string { return []string{"refill", "planning", "catalogue"}[n] }
+func serviceName(n int) string { return []string{"refill", "planning", "catalogue"}[n] }
 
-// slowRate is the definition of the burn rate, over all requests ever made.
-func slowRate(all []request, service string, account int, window time.Duration, now time.Time) (good, bad int64, rate float64) {
+// referenceRate computes the burn rate by its definition from all requests ever made.
+func referenceRate(requests []request, service string, account int, window time.Duration, now time.Time) (good, bad int64, rate float64) {
 	end := now.Truncate(time.Minute).Add(time.Minute)
-	for _, r := range all {
-		if name(r.service) != service || account >= 0 && r.account != account {
+	for _, r := range requests {
+		if serviceName(r.service) != service || account >= 0 && r.account != account {
 			continue
 		}
 		if r.at.Before(end.Add(-window)) || !r.at.Before(end) {
@@ -100,10 +101,10 @@
 	return good, bad, rate
 }
 
-func TestReportIsThatOfTheSlowVersion(t *testing.T) {
+func TestReportMatchesReference(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		hosts := []*burn.Recorder{recorder("a"), recorder("b"), recorder("c")}
-		var all []request
+		var requests []request
 		now := noon
 		for range rapid.IntRange(0, 200).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 600).Draw(t, "seconds")) * time.Second)
@@ -112,12 +113,12 @@
 				time.Duration(rapid.IntRange(0, 4000).Draw(t, "latency")) * time.Second, rapid.Bool().Draw(t, "ok"),
 				now.Add(-time.Duration(rapid.IntRange(0, 60).Draw(t, "late")) * time.Second),
 			}
-			all = append(all, r)
-			hosts[r.host].Record(name(r.service), fmt.Sprint(r.account), r.latency, r.ok, r.at)
+			requests = append(requests, r)
+			hosts[r.host].Record(serviceName(r.service), fmt.Sprint(r.account), r.latency, r.ok, r.at)
 		}
 		var parts []burn.Snapshot
 		for _, h := range hosts {
-			parts = append(parts, overTheWire(t, h.Snapshot(now)))
+			parts = append(parts, encodeAndDecode(t, h.Snapshot(now)))
 		}
 		merged, err := burn.Merge(parts...)
 		if err != nil {
@@ -128,12 +129,12 @@
 			t.Fatal(err)
 		}
 		for _, l := range report.Lines {
-			checkLine(t, l, all, now)
+			checkLine(t, l, requests, now)
 		}
 	})
 }
 
-func overTheWire(t interface{ Fatal(...any) }, s burn.Snapshot) burn.Snapshot {
+func encodeAndDecode(t interface{ Fatal(...any) }, s burn.Snapshot) burn.Snapshot {
 	body, err := json.Marshal(s)
 	if err != nil {
 		t.Fatal(err)
@@ -145,7 +146,7 @@
 	return got
 }
 
-func checkLine(t *rapid.T, l burn.Line, all []request, now time.Time) {
+func checkLine(t *rapid.T, l burn.Line, requests []request, now time.Time) {
 	account := -1
 	if l.Account != "" {
 		_, _ = fmt.Sscan(l.Account, &account)
@@ -159,7 +160,7 @@
 		{time.Hour, l.Burn.Hour},
 		{6 * time.Hour, l.Burn.SixHours},
 	} {
-		good, bad, want := slowRate(all, l.Service, account, w.window, now)
+		good, bad, want := referenceRate(requests, l.Service, account, w.window, now)
 		if math.Abs(want-w.rate) > 1e-9 {
 			t.Fatalf("%s of %q over %s: got %v, want %v", l.Service, l.Account, w.window, w.rate, want)
 		}
@@ -168,29 +169,29 @@
 		}
 	}
 	if l.P50MS > l.P90MS || l.P90MS > l.P99MS {
-		t.Fatalf("quantiles fall: %+v", l)
+		t.Fatalf("quantiles not ascending: %+v", l)
 	}
 }
 
-func TestAlertNeedsBothWindowsOfAPair(t *testing.T) {
+func TestAlertNeedsBothWindows(t *testing.T) {
 	cases := []struct {
-		name       string
-		from, till int // minutes before now that are bad
-		want       burn.Alert
+		name              string
+		badFrom, badUntil int // minutes before now that are bad
+		want              burn.Alert
 	}{
 		{"nothing", 0, 0, burn.NoAlert},
 		{"short only", 4, 0, burn.NoAlert},
 		{"long and short", 30, 0, burn.FastAlert},
-		{"long only, it is over", 50, 35, burn.NoAlert},
+		{"long only, ended", 50, 35, burn.NoAlert},
 		{"slow pair", 120, 10, burn.SlowAlert},
-		{"slow pair, it is over", 200, 60, burn.NoAlert},
+		{"slow pair, ended", 200, 60, burn.NoAlert},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			r := recorder("a")
 			for m := 359; m >= 0; m-- {
-				r.Record("refill", "kiosks", time.Second, m >= c.from || m < c.till, noon.Add(-time.Duration(m)*time.Minute))
+				r.Record("refill", "kiosks", time.Second, m >= c.badFrom || m < c.badUntil, noon.Add(-time.Duration(m)*time.Minute))
 			}
 			report, err := r.Report(noon)
 			is.NoErr(err)
@@ -199,16 +200,16 @@
 	}
 }
 
-func TestMergeLeavesOutWhatWouldMislead(t *testing.T) {
+func TestMergeSkipsInvalidSnapshots(t *testing.T) {
 	is := is.New(t)
 	r := recorder("a")
 	r.Record("refill", "kiosks", time.Second, true, noon)
 	s := r.Snapshot(noon)
-	b, c := overTheWire(t, s), overTheWire(t, s)
+	b, c := encodeAndDecode(t, s), encodeAndDecode(t, s)
 	b.Hosts, b.Series[0].Latency[0].Count = []string{"b"}, -1
 	c.Hosts, c.Series[0].Minutes[0].Bad = []string{"c"}, -1
-	for _, spoilt := range []burn.Snapshot{s, b, c} { // the first is the same host again
-		merged, err := burn.Merge(s, spoilt)
+	for _, invalid := range []burn.Snapshot{s, b, c} { // the first repeats the host
+		merged, err := burn.Merge(s, invalid)
 		is.True(err != nil)
 		is.Equal(merged, s)
 	}
@@ -216,19 +217,19 @@
 	is.True(err != nil)
 }
 
-// TestMergedSnapshotsMergeOn tells of a rolling replacement: each host ends as
-// planned and gives its counts to the next, which passes them on with its own.
-// The report must not forget them, nor count a host twice that still answers.
-func TestMergedSnapshotsMergeOn(t *testing.T) {
+// TestMergedSnapshotsCanBeMerged covers a rolling replacement, in which each host that
+// stops passes its counts to the next, which passes them on with its own. The report
+// must include them, and must not count a host twice that still answers.
+func TestMergedSnapshotsCanBeMerged(t *testing.T) {
 	is := is.New(t)
 	a, b, c := recorder("a#1"), recorder("b#1"), recorder("c#1")
 	for _, r := range []*burn.Recorder{a, b, c} {
 		r.Record("refill", "kiosks", time.Second, true, noon.Add(-time.Hour))
 		r.Record("refill", "kiosks", time.Second, false, noon)
 	}
-	ab, err := burn.Merge(overTheWire(t, a.Snapshot(noon)), b.Snapshot(noon))
+	ab, err := burn.Merge(encodeAndDecode(t, a.Snapshot(noon)), b.Snapshot(noon))
 	is.NoErr(err)
-	abc, err := burn.Merge(overTheWire(t, ab), c.Snapshot(noon))
+	abc, err := burn.Merge(encodeAndDecode(t, ab), c.Snapshot(noon))
 	is.NoErr(err)
 	merged, err := burn.Merge(abc, a.Snapshot(noon))
 	is.True(err != nil) // a still answers
@@ -239,8 +240,9 @@
 	is.Equal(report.Hosts, []string{"a#1", "b#1", "c#1"})
 }
 
-// TestSeriesAreBounded has names without end, as after many configurations.
-// What no longer gets requests makes room; what finds none is counted.
+// TestSeriesAreBounded records more accounts than MaxSeries, as after many
+// configurations. Requests beyond the limit are counted as dropped, and series without
+// recent requests are evicted.
 func TestSeriesAreBounded(t *testing.T) {
 	is := is.New(t)
 	r := recorder("a")
@@ -255,8 +257,9 @@
 	is.Equal(len(r.Snapshot(later).Series), 1)
 }
 
-// Where each job has an objective of its own, who records says what was in time.
-func TestJobsWithObjectivesOfTheirOwn(t *testing.T) {
+// An objective without a time limit leaves it to the caller of Record to decide whether
+// a request was in time.
+func TestObjectiveWithoutTimeLimit(t *testing.T) {
 	is := is.New(t)
 	r := burn.New("a")
 	r.SetObjectives(burn.Objectives{"refill": {Target: 0.9}})
--- a/internal/report/burn/doc.go
+++ b/internal/report/burn/doc.go
@@ -1,22 +1,22 @@
-// Package burn reports how fast services use up their error budgets.
+// Package burn reports how fast services consume their error budgets.
 //
-// A service-level objective promises a share of good requests: answered well,
-// and within a time. The rest is the error budget. The burn rate over a window
-// is the share of bad requests divided by the share that the objective allows:
-// at 1 the budget lasts exactly, at 10 it is gone in a tenth of the time.
+// A service-level objective sets the share of requests that must be good, that is,
+// succeed within a time. The remaining share is the error budget. The burn rate over a
+// window is the share of bad requests divided by the share that the objective allows:
+// at 1 the budget lasts exactly, at 10 it is consumed in a tenth of the time.
 //
-// Two pairs of windows are watched. An alert holds while both windows of a pair
-// burn faster than its threshold: the long one says that it matters, the short
-// one that it still goes on.
+// There are two pairs of windows. An alert is active while the burn rate of both
+// windows of a pair is above its threshold: the long window shows that the loss is
+// significant, the short one that it continues.
 //
 //	fast  1 h and 5 min   above 14.4
 //	slow  6 h and 30 min  above 6
 //
-// A Recorder counts on one host, in minutes, with bounded memory. Its Snapshot
-// travels as JSON; Merge joins those of several hosts; Report works out the
-// figures. The budget left is that of the last six hours: hosts keep nothing
-// for longer. Latencies are kept in HDR histograms of three hours each, and the
-// report covers the last two of these, which is between three and six hours.
+// A Recorder counts the requests of one host per minute in bounded memory. Snapshots
+// are exchanged as JSON, Merge combines those of several hosts, and Report computes the
+// burn rates. The budget left is that of the last six hours, since hosts keep no older
+// counts. Latencies are kept in HDR histograms of three hours each; a report covers the
+// last two of them, that is, the last three to six hours.
 //
-// Time is passed in and nothing here does input or output.
+// Callers pass the time. Only the Write methods do output.
 package burn
--- a/internal/report/burn/plot.go
+++ b/internal/report/burn/plot.go
@@ -19,19 +19,18 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// plotRoom is how far the axis reaches above the fast threshold at least, so
-// that the legend stands free.
-const plotRoom = 6
+// legendMargin is the minimum space above the fast threshold, which keeps the legend
+// clear of the lines.
+const legendMargin = 6
 
-// WriteSVG writes a plot of each service's burn rate over 30 minutes, all
-// accounts together, with the thresholds of the alerts. Services without an
-// objective are left out.
+// WriteSVG plots each service's burn rate over 30 minutes, for all accounts together,
+// with the alert thresholds. Services without an objective are omitted.
 func (r Report) WriteSVG(w io.Writer) error {
 	p := plot.New()
 	p.Title.Text = "Burn rate over 30 minutes, " + r.At.Format("2006-01-02 15:04 MST")
 	p.X.Label.Text = "hours before now"
 	p.Y.Label.Text = "times the allowed rate"
-	p.Y.Min, p.Y.Max = 0, FastThreshold+plotRoom
+	p.Y.Min, p.Y.Max = 0, FastThreshold+legendMargin
 	p.X.Tick.Marker = plot.TickerFunc(hourTicks)
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Add(plotter.NewGrid())
@@ -45,11 +44,11 @@
 		}
 		drawn++
 	}
-	from := -(longest - shortOfSlow).Hours()
+	from := -(longestWindow - slowShortWindow).Hours()
 	for i, threshold := range []float64{SlowThreshold, FastThreshold} {
 		name := []string{"slow alert", "fast alert"}[i]
-		level := plotter.XYs{{X: from, Y: threshold}, {X: 0, Y: threshold}}
-		if err := addLine(p, name, level, drawn+i, plotutil.Dashes(1)); err != nil {
+		thresholdLine := plotter.XYs{{X: from, Y: threshold}, {X: 0, Y: threshold}}
+		if err := addLine(p, name, thresholdLine, drawn+i, plotutil.Dashes(1)); err != nil {
 			return err
 		}
 	}
@@ -61,21 +60,21 @@
 	return nil
 }
 
-// hourTicks marks each whole hour.
-func hourTicks(least, most float64) []plot.Tick {
+// hourTicks returns a tick for each whole hour.
+func hourTicks(minHours, maxHours float64) []plot.Tick {
 	var ticks []plot.Tick
-	for hour := int(least); hour <= int(most); hour++ {
+	for hour := int(minHours); hour <= int(maxHours); hour++ {
 		ticks = append(ticks, plot.Tick{Value: float64(hour), Label: strconv.Itoa(hour)})
 	}
 	return ticks
 }
 
-// points returns the history over hours, which end at 0.
+// points returns the history over time in hours, ending at 0.
 func points(history []float64) plotter.XYs {
 	xys := make(plotter.XYs, len(history))
 	for i, rate := range history {
-		back := len(history) - 1 - i
-		xys[i] = plotter.XY{X: -float64(back) * HistoryStep.Hours(), Y: rate}
+		stepsBack := len(history) - 1 - i
+		xys[i] = plotter.XY{X: -float64(stepsBack) * HistoryStep.Hours(), Y: rate}
 	}
 	return xys
 }
--- a/internal/report/burn/recorder.go
+++ b/internal/report/burn/recorder.go
@@ -7,47 +7,47 @@
 	"guavaglade.example/guavaglade/internal/config/catalog"
 )
 
-// MaxSeries is how many pairs of service and client account a Recorder keeps.
+// MaxSeries is the maximum number of pairs of service and client account that a
+// Recorder keeps.
 const MaxSeries = 2048
 
-// Objectives are the objectives of services by name. A service that is absent,
-// or has a target of 0, has none.
+// Objectives maps service names to objectives. A service that is absent or has a target
+// of 0 has none.
 type Objectives map[string]catalog.Objective
 
-type seriesName struct{ service, account string }
+type seriesKey struct{ service, account string }
 
-// Recorder counts the requests of one host. It is safe for use by several
-// goroutines.
+// Recorder counts the requests of one host. It is safe for concurrent use.
 type Recorder struct {
 	host string
 
 	mu         sync.Mutex
 	objectives Objectives
-	series     map[seriesName]*series // at most MaxSeries
-	dropped    int64                  // requests that found no place
+	series     map[seriesKey]*series // at most MaxSeries
+	dropped    int64                 // requests not counted because MaxSeries was reached
 }
 
-// New returns a recorder of the host, whose name tells it from all others and
-// from earlier processes at its address.
+// New returns a recorder for a host. The name must differ from those of all other hosts
+// and of earlier processes at the same address.
 func New(host string) *Recorder {
-	return &Recorder{host: host, objectives: Objectives{}, series: map[seriesName]*series{}}
+	return &Recorder{host: host, objectives: Objectives{}, series: map[seriesKey]*series{}}
 }
 
-// SetObjectives replaces the objectives. Requests counted before stay as they
-// were judged.
+// SetObjectives replaces the objectives. Requests already counted remain good or bad as
+// before.
 func (r *Recorder) SetObjectives(o Objectives) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.objectives = o
 }
 
-// Record counts one request that ended at a time. It is good if it is ok and,
-// where the service's objective says a time, its latency is within it. A
-// request that its caller took back is neither and should not be recorded.
+// Record counts one request that ended at the given time. It is good if ok is true and
+// its latency is within the time of the service's objective, if that has one. A request
+// cancelled by its caller is neither good nor bad and should not be recorded.
 func (r *Recorder) Record(service, account string, latency time.Duration, ok bool, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.seriesOf(seriesName{service, account}, at)
+	s := r.seriesOf(seriesKey{service, account}, at)
 	if s == nil {
 		r.dropped++
 		return
@@ -56,13 +56,12 @@
 	s.record(latency, ok && (o.Target == 0 || o.Within == 0 || latency <= o.Within), at)
 }
 
-// seriesOf returns the series of a name, nil if there is no place for it.
+// seriesOf returns the series of a key, nil if MaxSeries is reached.
 //
-// It guards against names without end, as after many configurations that each
-// bring new accounts: it shows as memory that only grows. Series that have had
-// no request within the longest window are given up for new ones.
-func (r *Recorder) seriesOf(name seriesName, at time.Time) *series {
-	if s, ok := r.series[name]; ok {
+// The limit keeps memory from growing without bound when many configurations each add
+// accounts. Series without a request in the longest window are evicted for new ones.
+func (r *Recorder) seriesOf(key seriesKey, at time.Time) *series {
+	if s, ok := r.series[key]; ok {
 		return s
 	}
 	if len(r.series) >= MaxSeries {
@@ -76,26 +75,26 @@
 		return nil
 	}
 	s := newSeries()
-	r.series[name] = s
+	r.series[key] = s
 	return s
 }
 
-// Snapshot returns what was counted within the longest window before now.
+// Snapshot returns the counts of the longest window that ends at now.
 func (r *Recorder) Snapshot(now time.Time) Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := Snapshot{Hosts: []string{r.host}, At: now, Dropped: r.dropped}
-	for name, s := range r.series {
-		one := s.snapshot(name, now)
-		if len(one.Minutes) > 0 {
-			out.Series = append(out.Series, one)
+	for key, s := range r.series {
+		entry := s.snapshot(key, now)
+		if len(entry.Minutes) > 0 {
+			out.Series = append(out.Series, entry)
 		}
 	}
 	out.sort()
 	return out
 }
 
-// Report returns the report of this host alone.
+// Report returns the report of this host only.
 func (r *Recorder) Report(now time.Time) (Report, error) {
 	s := r.Snapshot(now)
 	r.mu.Lock()
--- a/internal/report/burn/report.go
+++ b/internal/report/burn/report.go
@@ -8,33 +8,33 @@
 	"guavaglade.example/guavaglade/internal/config/catalog"
 )
 
-// The windows that are watched. A window ends with the minute of now, which may
-// not be over, and is that minute and those before it.
+// The windows of the burn rates. A window ends with the current minute, which may be
+// incomplete.
 const (
-	shortOfFast = 5 * time.Minute
-	longOfFast  = time.Hour
-	shortOfSlow = 30 * time.Minute
-	longOfSlow  = 6 * time.Hour
-	longest     = longOfSlow
+	fastShortWindow = 5 * time.Minute
+	fastLongWindow  = time.Hour
+	slowShortWindow = 30 * time.Minute
+	slowLongWindow  = 6 * time.Hour
+	longestWindow   = slowLongWindow
 )
 
-// The thresholds of the two pairs of windows.
+// The alert thresholds of the two pairs of windows.
 const (
 	FastThreshold = 14.4 // 2 % of a 30 day budget in an hour
 	SlowThreshold = 6.0  // 5 % of a 30 day budget in six hours
 )
 
-// Alert says which pair of windows burns too fast.
+// Alert identifies the pair of windows whose burn rates are above the threshold.
 type Alert string
 
-// The alerts. The fast one goes before the slow one.
+// The alerts. FastAlert takes precedence over SlowAlert.
 const (
 	NoAlert   Alert = ""
 	FastAlert Alert = "fast"
 	SlowAlert Alert = "slow"
 )
 
-// Rates are burn rates over the watched windows; 0 where nothing was counted.
+// Rates holds the burn rate over each window, 0 where no request was counted.
 type Rates struct {
 	Hour          float64 `json:"hour"`
 	FiveMinutes   float64 `json:"fiveMinutes"`
@@ -42,7 +42,7 @@
 	ThirtyMinutes float64 `json:"thirtyMinutes"`
 }
 
-// alert returns what the rates call for.
+// alert returns the alert that the rates raise.
 func (r Rates) alert() Alert {
 	switch {
 	case r.Hour > FastThreshold && r.FiveMinutes > FastThreshold:
@@ -54,27 +54,27 @@
 	}
 }
 
-// Line is the report on one client account's requests to one service, or on
-// those of all accounts.
+// Line is the report on the requests of one client account, or of all accounts, to one
+// service.
 type Line struct {
 	Service    string  `json:"service"`
 	Account    string  `json:"account,omitempty"`  // empty: all accounts together
 	Target     float64 `json:"target,omitempty"`   // share of good requests; 0: no objective
 	WithinMS   int64   `json:"withinMs,omitempty"` // ms
-	Good       int64   `json:"good"`               // in the last six hours, as Bad
+	Good       int64   `json:"good"`               // in the last six hours, like Bad
 	Bad        int64   `json:"bad"`
 	BudgetLeft float64 `json:"budgetLeft"` // share of the six hours' budget; below 0: overspent
 	Burn       Rates   `json:"burn"`
 	Alert      Alert   `json:"alert,omitempty"`
-	P50MS      int64   `json:"p50Ms"` // latency in ms, as P90MS and P99MS
+	P50MS      int64   `json:"p50Ms"` // latency quantiles in ms
 	P90MS      int64   `json:"p90Ms"`
 	P99MS      int64   `json:"p99Ms"`
-	// History holds, for all accounts together only, the burn rate over 30
-	// minutes at each HistoryStep, the oldest first, the newest at now.
+	// History holds the burn rate over 30 minutes at each HistoryStep, from the oldest
+	// to the current one. It is set only for all accounts together.
 	History []float64 `json:"history,omitempty"`
 }
 
-// HistoryStep is the time between two values of a history.
+// HistoryStep is the interval between two values of a history.
 const HistoryStep = 5 * time.Minute
 
 // Report is the burn report of one or several hosts.
@@ -82,11 +82,11 @@
 	At      time.Time `json:"at"`
 	Hosts   []string  `json:"hosts"`
 	Dropped int64     `json:"dropped,omitempty"` // requests that were not counted
-	Lines   []Line    `json:"lines"`             // by service; all accounts first, then each
+	Lines   []Line    `json:"lines"`             // by service; all accounts together first, then each
 }
 
-// Report works out the report at a time. It refuses a snapshot whose counts or
-// latencies cannot be right.
+// Report computes the report at the given time. It returns an error if the snapshot has
+// counts or latencies that are out of range.
 func (s Snapshot) Report(now time.Time, objectives Objectives) (Report, error) {
 	if err := s.check(nil); err != nil {
 		return Report{}, fmt.Errorf("burn report: %w", err)
@@ -95,7 +95,7 @@
 	series := slices.Clone(s.Series)
 	for len(series) > 0 {
 		service := series[0].Service
-		end := slices.IndexFunc(series, func(one Series) bool { return one.Service != service })
+		end := slices.IndexFunc(series, func(entry Series) bool { return entry.Service != service })
 		if end < 0 {
 			end = len(series)
 		}
@@ -105,38 +105,38 @@
 	return out, nil
 }
 
-// linesOf returns the lines of one service: all accounts first, then each.
+// linesOf returns the lines of one service: all accounts together first, then each.
 func linesOf(accounts []Series, o catalog.Objective, now time.Time) []Line {
 	total := newSum()
 	lines := make([]Line, 1, len(accounts)+1)
-	for _, one := range accounts {
-		alone := newSum()
-		alone.add(one)
-		total.add(one)
-		lines = append(lines, lineOf(seriesName{one.Service, one.Account}, alone, o, now))
+	for _, account := range accounts {
+		accountSum := newSum()
+		accountSum.add(account)
+		total.add(account)
+		lines = append(lines, lineOf(seriesKey{account.Service, account.Account}, accountSum, o, now))
 	}
-	lines[0] = lineOf(seriesName{service: accounts[0].Service}, total, o, now)
+	lines[0] = lineOf(seriesKey{service: accounts[0].Service}, total, o, now)
 	lines[0].History = history(total.sorted(), o.Target, now)
 	return lines
 }
 
-func lineOf(name seriesName, s *sum, o catalog.Objective, now time.Time) Line {
+func lineOf(key seriesKey, s *sum, o catalog.Objective, now time.Time) Line {
 	minutes := s.sorted()
-	good, bad := count(minutes, longest, now)
+	good, bad := count(minutes, longestWindow, now)
 	rates := Rates{
-		Hour:          rate(minutes, longOfFast, o.Target, now),
-		FiveMinutes:   rate(minutes, shortOfFast, o.Target, now),
-		SixHours:      rate(minutes, longOfSlow, o.Target, now),
-		ThirtyMinutes: rate(minutes, shortOfSlow, o.Target, now),
+		Hour:          rate(minutes, fastLongWindow, o.Target, now),
+		FiveMinutes:   rate(minutes, fastShortWindow, o.Target, now),
+		SixHours:      rate(minutes, slowLongWindow, o.Target, now),
+		ThirtyMinutes: rate(minutes, slowShortWindow, o.Target, now),
 	}
 	return Line{
-		Service: name.service, Account: name.account, Target: o.Target, WithinMS: o.Within.Milliseconds(),
+		Service: key.service, Account: key.account, Target: o.Target, WithinMS: o.Within.Milliseconds(),
 		Good: good, Bad: bad, BudgetLeft: 1 - rates.SixHours, Burn: rates, Alert: rates.alert(),
 		P50MS: s.latency.ValueAtQuantile(50), P90MS: s.latency.ValueAtQuantile(90), P99MS: s.latency.ValueAtQuantile(99),
 	}
 }
 
-// count sums up the minutes of a window that ends with the minute of now.
+// count sums the minutes of a window that ends with the current minute.
 func count(minutes []Minute, window time.Duration, now time.Time) (good, bad int64) {
 	last := minuteOf(now)
 	first := last - int64(window/time.Minute) + 1
@@ -149,7 +149,7 @@
 	return good, bad
 }
 
-// rate returns the burn rate over a window, 0 without requests or objective.
+// rate returns the burn rate over a window, 0 if there are no requests or no objective.
 func rate(minutes []Minute, window time.Duration, target float64, now time.Time) float64 {
 	good, bad := count(minutes, window, now)
 	if good+bad == 0 || target <= 0 || target >= 1 {
@@ -158,12 +158,12 @@
 	return float64(bad) / float64(good+bad) / (1 - target)
 }
 
-// history returns the 30 minute burn rates over the time for which all minutes
-// of the window are kept.
+// history returns the burn rates over 30 minutes for all times at which every minute of
+// the window is still kept.
 func history(minutes []Minute, target float64, now time.Time) []float64 {
 	var out []float64
-	for back := longest - shortOfSlow; back >= 0; back -= HistoryStep {
-		out = append(out, rate(minutes, shortOfSlow, target, now.Add(-back)))
+	for back := longestWindow - slowShortWindow; back >= 0; back -= HistoryStep {
+		out = append(out, rate(minutes, slowShortWindow, target, now.Add(-back)))
 	}
 	return out
 }
--- a/internal/report/burn/series.go
+++ b/internal/report/burn/series.go
@@ -6,42 +6,41 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// ringMinutes is how many minutes are kept: the longest window.
-const ringMinutes = int64(longest / time.Minute)
+// ringMinutes is the number of minutes kept: the longest window.
+const ringMinutes = int64(longestWindow / time.Minute)
 
-// The geometry of a latency histogram: from 1 ms to 24 h, exact to two digits.
+// The parameters of the latency histograms: 1 ms to 24 h, two significant digits.
 const (
-	leastLatency   = 1           // ms
-	mostLatency    = 86400 * 1e3 // ms; what takes longer counts as this
-	latencyDigits  = 2
-	histogramSpans = 2 // histograms kept, each of histogramSpan
-	histogramSpan  = 3 * time.Hour
+	minLatencyMS    = 1
+	maxLatencyMS    = 86400 * 1e3 // longer latencies are counted as this
+	latencyDigits   = 2
+	histogramsKept  = 2 // each of histogramPeriod
+	histogramPeriod = 3 * time.Hour
 )
 
-// Minute is what was counted in one minute.
+// Minute holds the counts of one minute.
 type Minute struct {
-	At   int64 `json:"at"` // minutes since 1970
+	At   int64 `json:"at"` // minutes since the Unix epoch
 	Good int64 `json:"good,omitempty"`
 	Bad  int64 `json:"bad,omitempty"`
 }
 
-// Bucket is how many latencies fell into one bucket of an HDR histogram.
+// Bucket holds the number of latencies in one bucket of an HDR histogram.
 type Bucket struct {
 	MS    int64 `json:"ms"` // lower bound of the bucket
 	Count int64 `json:"count"`
 }
 
-// series counts the requests of one client account to one service. Its memory
-// does not grow with their number.
+// series counts the requests of one client account to one service in bounded memory.
 type series struct {
-	newest    int64               // newest minute counted
-	ring      [ringMinutes]Minute // minute m stands at m modulo ringMinutes
-	latencies [histogramSpans]span
+	newest    int64               // latest minute with a request
+	ring      [ringMinutes]Minute // indexed by minute modulo ringMinutes
+	latencies [histogramsKept]periodHistogram
 }
 
-// span is a histogram of the latencies of one stretch of time.
-type span struct {
-	number    int64 // stretches since 1970
+// periodHistogram is the latency histogram of one period.
+type periodHistogram struct {
+	period    int64 // in histogramPeriods since the Unix epoch
 	histogram *hdrhistogram.Histogram
 }
 
@@ -49,30 +48,31 @@
 
 func minuteOf(t time.Time) int64 { return t.Unix() / 60 }
 
-func spanOf(t time.Time) int64 { return t.Unix() / int64(histogramSpan/time.Second) }
+func periodOf(t time.Time) int64 { return t.Unix() / int64(histogramPeriod/time.Second) }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(leastLatency, mostLatency, latencyDigits)
+	return hdrhistogram.New(minLatencyMS, maxLatencyMS, latencyDigits)
 }
 
-// record counts one request. One that is older than the ring is dropped: its
-// place may be taken by a newer minute.
+// record counts one request. A request older than the ring is ignored, since a newer
+// minute may occupy its slot.
 func (s *series) record(latency time.Duration, good bool, at time.Time) {
 	minute := minuteOf(at)
 	if minute < 0 {
 		return
 	}
-	one := Minute{At: minute, Bad: 1}
+	counts := Minute{At: minute, Bad: 1}
 	if good {
-		one = Minute{At: minute, Good: 1}
+		counts = Minute{At: minute, Good: 1}
 	}
-	if !s.addMinute(one) {
+	if !s.addMinute(counts) {
 		return
 	}
-	s.recordLatencies(latency.Milliseconds(), 1, at)
+	s.recordLatency(latency.Milliseconds(), 1, at)
 }
 
-// addMinute adds the counts of a minute, unless it is older than the ring.
+// addMinute adds the counts of a minute and returns true, unless a newer minute
+// occupies its slot.
 func (s *series) addMinute(m Minute) bool {
 	slot := &s.ring[m.At%ringMinutes]
 	if m.At < slot.At {
@@ -87,21 +87,21 @@
 	return true
 }
 
-func (s *series) recordLatencies(ms, count int64, at time.Time) {
-	number := spanOf(at)
-	slot := &s.latencies[number%histogramSpans]
-	if number < slot.number {
+func (s *series) recordLatency(ms, count int64, at time.Time) {
+	period := periodOf(at)
+	slot := &s.latencies[period%histogramsKept]
+	if period < slot.period {
 		return
 	}
-	if number > slot.number || slot.histogram == nil {
-		*slot = span{number, newHistogram()}
+	if period > slot.period || slot.histogram == nil {
+		*slot = periodHistogram{period, newHistogram()}
 	}
-	ms = min(max(ms, leastLatency), mostLatency)
-	_ = slot.histogram.RecordValues(ms, count) // in range, so never refused
+	ms = min(max(ms, minLatencyMS), maxLatencyMS)
+	_ = slot.histogram.RecordValues(ms, count) // in range, so no error
 }
 
-func (s *series) snapshot(name seriesName, now time.Time) Series {
-	out := Series{Service: name.service, Account: name.account}
+func (s *series) snapshot(key seriesKey, now time.Time) Series {
+	out := Series{Service: key.service, Account: key.account}
 	for m := minuteOf(now) - ringMinutes + 1; m <= minuteOf(now); m++ {
 		if m < 0 {
 			continue
@@ -112,7 +112,7 @@
 	}
 	all := newHistogram()
 	for _, l := range s.latencies {
-		if l.histogram != nil && l.number <= spanOf(now) && l.number > spanOf(now)-histogramSpans {
+		if l.histogram != nil && l.period <= periodOf(now) && l.period > periodOf(now)-histogramsKept {
 			all.Merge(l.histogram)
 		}
 	}
--- a/internal/report/burn/snapshot.go
+++ b/internal/report/burn/snapshot.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Series is what was counted of one client account's requests to one service.
+// Series holds the counts of one client account's requests to one service.
 type Series struct {
 	Service string   `json:"service"`
 	Account string   `json:"account"`
-	Minutes []Minute `json:"minutes"`           // sorted, each minute once
-	Latency []Bucket `json:"latency,omitempty"` // buckets that are not empty
+	Minutes []Minute `json:"minutes"`           // sorted, without duplicates
+	Latency []Bucket `json:"latency,omitempty"` // non-empty buckets
 }
 
-// Snapshot is what one or several hosts have counted. It travels as JSON.
+// Snapshot holds the counts of one or several hosts. It is encoded as JSON.
 type Snapshot struct {
-	Hosts   []string  `json:"hosts"` // sorted, each once
+	Hosts   []string  `json:"hosts"` // sorted, without duplicates
 	At      time.Time `json:"at"`
 	Series  []Series  `json:"series,omitempty"`  // sorted by service and account
 	Dropped int64     `json:"dropped,omitempty"` // requests that were not counted
@@ -31,41 +31,40 @@
 	})
 }
 
-// Merge joins the snapshots of several hosts. One that would mislead is left
-// out, and the error names it and why: one of a host that is in an earlier one,
-// whose requests would count twice, and one with counts or latencies that cannot
-// be right. The snapshot returned is that of the
-// others, also if there is an error.
+// Merge combines the snapshots of several hosts. It skips a snapshot that includes a
+// host of an earlier one, whose requests would count twice, and one with counts or
+// latencies that are out of range. The error names the skipped snapshots and the
+// reasons. The returned snapshot combines the others even if there is an error.
 func Merge(snapshots ...Snapshot) (Snapshot, error) {
 	var out Snapshot
 	var faults []error
-	sums := map[seriesName]*sum{}
-	known := map[string]bool{}
+	sums := map[seriesKey]*sum{}
+	knownHosts := map[string]bool{}
 	for _, s := range snapshots {
-		if err := s.check(known); err != nil {
+		if err := s.check(knownHosts); err != nil {
 			faults = append(faults, fmt.Errorf("merge burn snapshots: hosts %v: %w", s.Hosts, err))
 			continue
 		}
-		out.take(s, known)
-		for _, one := range s.Series {
-			name := seriesName{one.Service, one.Account}
-			if sums[name] == nil {
-				sums[name] = newSum()
+		out.addMetadata(s, knownHosts)
+		for _, entry := range s.Series {
+			key := seriesKey{entry.Service, entry.Account}
+			if sums[key] == nil {
+				sums[key] = newSum()
 			}
-			sums[name].add(one)
+			sums[key].add(entry)
 		}
 	}
-	for name, total := range sums {
-		out.Series = append(out.Series, total.series(name))
+	for key, total := range sums {
+		out.Series = append(out.Series, total.series(key))
 	}
 	out.sort()
 	return out, errors.Join(faults...)
 }
 
-// take adds all but the series of another snapshot.
-func (s *Snapshot) take(other Snapshot, known map[string]bool) {
+// addMetadata adds the other snapshot's fields except its series.
+func (s *Snapshot) addMetadata(other Snapshot, knownHosts map[string]bool) {
 	for _, host := range other.Hosts {
-		known[host] = true
+		knownHosts[host] = true
 	}
 	s.Hosts = append(s.Hosts, other.Hosts...)
 	s.Dropped += other.Dropped
@@ -74,22 +73,23 @@
 	}
 }
 
-// check returns why a snapshot cannot be used beside the known hosts.
-func (s Snapshot) check(known map[string]bool) error {
+// check returns an error if the snapshot includes a known host or invalid series.
+func (s Snapshot) check(knownHosts map[string]bool) error {
 	for _, host := range s.Hosts {
-		if known[host] {
-			return fmt.Errorf("host %s is counted already", host)
+		if knownHosts[host] {
+			return fmt.Errorf("host %s is already counted", host)
 		}
 	}
-	for _, one := range s.Series {
-		if err := one.check(); err != nil {
+	for _, entry := range s.Series {
+		if err := entry.check(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// check refuses counts below 0 and latencies out of the histograms' range.
+// check returns an error for negative counts and for latencies outside the range of the
+// histograms.
 func (s Series) check() error {
 	for _, m := range s.Minutes {
 		if m.At < 0 || m.Good < 0 || m.Bad < 0 {
@@ -97,7 +97,7 @@
 		}
 	}
 	for _, l := range s.Latency {
-		if l.Count < 0 || l.MS < 0 || l.MS > mostLatency {
+		if l.Count < 0 || l.MS < 0 || l.MS > maxLatencyMS {
 			return fmt.Errorf("latency of %s for %s: %d of %d ms", s.Service, s.Account, l.Count, l.MS)
 		}
 	}
--- a/internal/report/burn/sum.go
+++ b/internal/report/burn/sum.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// sum is several series added up.
+// sum is the sum of several series.
 type sum struct {
 	minutes map[int64]Minute // by Minute.At
 	latency *hdrhistogram.Histogram
@@ -15,18 +15,18 @@
 
 func newSum() *sum { return &sum{map[int64]Minute{}, newHistogram()} }
 
-// add adds a series that was checked.
-func (s *sum) add(one Series) {
-	for _, l := range one.Latency {
-		_ = s.latency.RecordValues(l.MS, l.Count) // in range, so never refused
+// add adds a series that has passed check.
+func (s *sum) add(added Series) {
+	for _, l := range added.Latency {
+		_ = s.latency.RecordValues(l.MS, l.Count) // in range, so no error
 	}
-	for _, m := range one.Minutes {
-		before := s.minutes[m.At]
-		s.minutes[m.At] = Minute{m.At, before.Good + m.Good, before.Bad + m.Bad}
+	for _, m := range added.Minutes {
+		previous := s.minutes[m.At]
+		s.minutes[m.At] = Minute{m.At, previous.Good + m.Good, previous.Bad + m.Bad}
 	}
 }
 
-// sorted returns the minutes as they come.
+// sorted returns the minutes in chronological order.
 func (s *sum) sorted() []Minute {
 	out := make([]Minute, 0, len(s.minutes))
 	for _, m := range s.minutes {
@@ -36,17 +36,17 @@
 	return out
 }
 
-func (s *sum) series(name seriesName) Series {
-	return Series{name.service, name.account, s.sorted(), bucketsOf(s.latency)}
+func (s *sum) series(key seriesKey) Series {
+	return Series{key.service, key.account, s.sorted(), bucketsOf(s.latency)}
 }
 
-// bucketsOf returns the buckets of a histogram that are not empty. Recorded
-// into a histogram of the same geometry they give the same one.
+// bucketsOf returns the non-empty buckets of a histogram. Recording them into a
+// histogram with the same parameters reproduces it.
 func bucketsOf(h *hdrhistogram.Histogram) []Bucket {
 	var out []Bucket
-	for _, bar := range h.Distribution() {
-		if bar.Count > 0 {
-			out = append(out, Bucket{bar.From, bar.Count})
+	for _, bucket := range h.Distribution() {
+		if bucket.Count > 0 {
+			out = append(out, Bucket{bucket.From, bucket.Count})
 		}
 	}
 	return out
--- a/internal/report/burn/write.go
+++ b/internal/report/burn/write.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// WriteText writes the report as a table for reading.
+// WriteText writes the report as a text table.
 func (r Report) WriteText(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "service-level burn at %s, %d hosts\n", r.At.Format(time.RFC3339), len(r.Hosts))
@@ -61,7 +61,7 @@
 func (l Line) objective() string {
 	share := strconv.FormatFloat(100*l.Target, 'g', 6, 64)
 	if l.WithinMS == 0 {
-		return share + "% in its time" // each job has its own
+		return share + "% in its time" // each job has its own time limit
 	}
 	return fmt.Sprintf("%s%% in %s", share, time.Duration(l.WithinMS)*time.Millisecond)
 }
