--- a/internal/fleet/order/instrumented.go
+++ b/internal/fleet/order/instrumented.go
@@ -35,7 +35,7 @@
 		tagged := scope.Tagged(map[string]string{"order": order})
 		m := &orderMetrics{
 			ok:     tagged.Tagged(map[string]string{"outcome": "ok"}).Counter("orders_total"),
-			failed: map[string]tally.Counter{}, latency: tagged.Histogram("order_seconds", metrics.Latencies),
+			failed: map[string]tally.Counter{}, latency: tagged.Histogram("order_seconds", metrics.LatencyBuckets),
 		}
 		for name := range outcomes {
 			m.failed[name] = tagged.Tagged(map[string]string{"outcome": name}).Counter("orders_total")
--- a/internal/host/api/api.go
+++ b/internal/host/api/api.go
@@ -87,7 +87,7 @@
 		next.ServeHTTP(seen, r)
 		route, _ := mux.CurrentRoute(r).GetPathTemplate()
 		scope := a.station.Metrics().Tagged(map[string]string{"route": route, "method": r.Method})
-		scope.Histogram("request_seconds", metrics.Latencies).RecordDuration(time.Since(begun))
+		scope.Histogram("request_seconds", metrics.LatencyBuckets).RecordDuration(time.Since(begun))
 		scope.Tagged(map[string]string{"status": strconv.Itoa(seen.status)}).Counter("requests_total").Inc(1)
 	})
 }
--- a/internal/platform/store/instrumented.go
+++ b/internal/platform/store/instrumented.go
@@ -31,7 +31,7 @@
 		}
 		c.calls[call] = &callMetrics{
 			ok: outcome("ok"), conflict: outcome("conflict"), unavailable: outcome("unavailable"), unknown: outcome("unknown"),
-			latency: tagged.Histogram("store_seconds", metrics.Latencies),
+			latency: tagged.Histogram("store_seconds", metrics.LatencyBuckets),
 		}
 	}
 	return c
--- a/internal/report/metrics/doc.go
+++ b/internal/report/metrics/doc.go
@@ -1,3 +1,3 @@
-// Package metrics sets up the counters and histograms of a process, and shows
-// them as text in the Prometheus format.
+// Package metrics sets up the counters and histograms of a process and serves them in
+// the Prometheus text format.
 package metrics
