--- a/internal/config/text/account.go
+++ b/internal/config/text/account.go
@@ -30,7 +30,7 @@
 	}
 	if a.keyHash != "" {
 		if b, err := hex.DecodeString(a.keyHash); err != nil || len(b) != keyHashBytes {
-			section.Fault("keyHash", "not a SHA-256 hash of 64 hexadecimal digits")
+			section.Fault("keyHash", "not a SHA-256 of 64 hexadecimal digits")
 		}
 	}
 	if !checkName(section, name) {
--- a/internal/work/dispatch/accept.go
+++ b/internal/work/dispatch/accept.go
@@ -147,7 +147,7 @@
 
 func (m *Machine) openNextOccurrence(j *job, now time.Time) {
 	for _, s := range j.createOccurrence() {
-		if s.blocked == 0 {
+		if s.blockedBy == 0 {
 			m.stepUnblocked(s, now)
 		}
 	}
@@ -168,7 +168,7 @@
 
 // enqueueStep adds a step that may have tasks to start to the open steps.
 func (m *Machine) enqueueStep(s *step, _ time.Time) {
-	if s.blocked > 0 || s.done || s.job.finished() || s.queued {
+	if s.blockedBy > 0 || s.done || s.job.finished() || s.queued {
 		return
 	}
 	s.queued = true
