--- a/internal/host/station/evacuation_test.go
+++ b/internal/host/scheduler/evacuation_test.go
@@ -1,4 +1,4 @@
-package station_test
+package scheduler_test
 
 import (
 	"slices"
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"guavaglade.example/guavaglade/internal/host/steady"
+	"guavaglade.example/guavaglade/internal/host/boottime"
 	"guavaglade.example/guavaglade/internal/platform/store"
 )
 
@@ -37,7 +37,7 @@
 	r.table.Remove(evacuationKey("leon"))
 	r.until(t, "celaya alone", r.evacuated("celaya"))
 	is.Equal(r.Catalog().Version(), int64(2))
-	r.table.Forget()
+	r.table.Compact()
 	r.table.Put(evacuationKey("leon"), []byte("{}"))
 	r.until(t, "both again", r.evacuated("celaya", "leon"))
 	r.table.Remove(evacuationKey("celaya"))
@@ -56,7 +56,7 @@
 	r.until(t, "a first reading", func() bool { return !r.Evacuations().AsOf.IsZero() })
 	r.refuse(true)
 	r.until(t, "the store lost", func() bool { return r.logged("store lost") })
-	turnedAway := steady.Now()
+	turnedAway := boottime.Now()
 	r.table.Put(evacuationKey("leon"), []byte("{}"))
 	is.True(!r.Evacuations().AsOf.After(turnedAway))
 	r.refuse(false)
--- a/internal/work/dispatch/load_test.go
+++ b/internal/work/dispatch/load_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// workload hands in jobs of three sorts at random, as the users' request sheets
-// describe them: large gangs, urgent gangs and wide steps of small tasks.
+// workload submits random jobs of three kinds, as the users' request sheets describe them:
+// large gangs, urgent gangs and wide steps of small tasks.
 type workload struct {
 	*simulation
 	rnd         *rand.Rand
-	rate        float64 // jobs a second of all sorts
-	widthFactor float64 // how much wider than today's steps are
+	rate        float64 // jobs per second, of all kinds
+	widthFactor float64 // width of steps relative to today's
 }
 
-// gangAccelerators are what tasks of gangs ask for.
+// gangAccelerators are the numbers of accelerators that members of gangs need.
 var gangAccelerators = []int{1, 2, 4, 8, 8}
 
-// submitNext hands one job in.
+// submitNext submits one random job.
 func (s *workload) submitNext() {
 	width := func(mean float64) int { return max(1, int(s.rnd.ExpFloat64()*mean*s.widthFactor)) }
 	around := func(d time.Duration) time.Duration {
@@ -28,11 +28,11 @@
 	n := gangAccelerators[s.rnd.IntN(len(gangAccelerators))]
 	switch x := s.rnd.Float64(); {
 	case x < 0.17:
-		g := large(min(width(4), 16), n)
+		g := largeGang(min(width(4), 16), n)
 		g.SameRack = s.rnd.Float64() < 0.6
 		s.submit(1, around(8500*time.Millisecond), g)
 	case x < 0.80:
-		g := urgent(min(width(2.5), 12), n)
+		g := urgentGang(min(width(2.5), 12), n)
 		g.SameRack = s.rnd.Float64() < 0.8
 		s.submit(0, around(2500*time.Millisecond), g)
 	default:
@@ -42,7 +42,7 @@
 	}
 }
 
-// runWithLoad lets time pass while jobs come in.
+// runWithLoad runs the simulation for some time while jobs are submitted.
 func (s *workload) runWithLoad(span time.Duration) {
 	for until := s.now.Add(span); s.now.Before(until); {
 		s.run(max(simulationStep, time.Duration(s.rnd.ExpFloat64()/s.rate*float64(time.Second))))
@@ -50,17 +50,17 @@
 	}
 }
 
-// shareInTime returns the share of the jobs handed in before a time that have ended
-// within so many times their estimate.
+// shareInTime returns the share of the jobs of a priority submitted before a time that have
+// ended within a multiple of their estimate.
 func (s *workload) shareInTime(priority int, within float64, before time.Time) float64 {
 	n, good := 0, 0
-	for id, asked := range s.submittedAt {
+	for id, submittedAt := range s.submittedAt {
 		j := s.m.jobs[id]
-		if j == nil || j.spec.Priority != priority || asked.After(before) {
+		if j == nil || j.spec.Priority != priority || submittedAt.After(before) {
 			continue
 		}
 		n++
-		if at, ok := s.endedAt[id]; ok && at.Sub(asked) <= time.Duration(within*float64(j.spec.Steps[0].Estimate)) {
+		if at, ok := s.endedAt[id]; ok && at.Sub(submittedAt) <= time.Duration(within*float64(j.spec.Steps[0].Estimate)) {
 			good++
 		}
 	}
@@ -70,18 +70,18 @@
 	return float64(good) / float64(n)
 }
 
-// BenchmarkDecide sweeps sizes of deployments and measures what a second of the
-// machine's time costs, with the stand-in targets.
+// BenchmarkDecide measures one simulated second of a machine with the stand-in targets, for
+// several sizes of deployments.
 func BenchmarkDecide(b *testing.B) {
 	for _, x := range []struct {
-		name           string
-		racks, perRack int
-		rate, wide     float64
+		name              string
+		racks, perRack    int
+		rate, widthFactor float64
 	}{
 		{"48", 6, 8, 4, 1}, {"48full", 6, 8, 9, 1}, {"350", 18, 20, 12, 2}, {"350full", 18, 20, 28, 2}, {"920", 46, 20, 30, 2}, {"1100", 138, 8, 33, 4},
 	} {
 		b.Run(x.name, func(b *testing.B) {
-			s := &workload{simulation: newSimulation(b, x.racks, x.perRack, DefaultBounds()), rnd: rand.New(rand.NewPCG(1, 2)), rate: x.rate, widthFactor: x.wide}
+			s := &workload{simulation: newSimulation(b, x.racks, x.perRack, DefaultBounds()), rnd: rand.New(rand.NewPCG(1, 2)), rate: x.rate, widthFactor: x.widthFactor}
 			s.runWithLoad(15 * time.Second)
 			b.ResetTimer()
 			for b.Loop() {
@@ -94,8 +94,8 @@
 	}
 }
 
-// BenchmarkCrowdedPass sweeps sizes and measures one pass over 300 urgent gangs that
-// wait on targets full of work that is too dear to stop.
+// BenchmarkCrowdedPass measures one pass over 300 pending urgent gangs, for several numbers
+// of targets, all full of work that is too costly to preempt.
 func BenchmarkCrowdedPass(b *testing.B) {
 	for _, racks := range []int{6, 44, 138} {
 		b.Run(strconv.Itoa(racks*8), func(b *testing.B) {
@@ -106,7 +106,7 @@
 			}
 			d.now = d.now.Add(30 * time.Second)
 			for n := range 300 {
-				d.m.Accept(d.makeJob(1000+n, 0, urgent(1+n%16, []int{1, 2, 4, 8, 8}[n%5])), d.now)
+				d.m.Accept(d.makeJob(1000+n, 0, urgentGang(1+n%16, []int{1, 2, 4, 8, 8}[n%5])), d.now)
 			}
 			d.m.Decide(d.now)
 			for b.Loop() {
