--- a/internal/operator/demo/deployment.go
+++ b/internal/operator/demo/deployment.go
@@ -34,7 +34,7 @@
 		cancel()
 		return nil, err
 	}
-	p.LearnFromRows()
+	p.ReadJobsFromStore()
 	ports := func(_ int, log logr.Logger) scheduler.Ports { return platform.Ports(p.Address(), log) }
 	hosts, err := site.Start(ports, site.WithOperatorKey(keyHash), site.WithLog(log))
 	if err != nil {
