--- a/internal/host/api/operator_test.go
+++ b/internal/host/api/operator_test.go
@@ -32,7 +32,7 @@
 	shared := pool.Share(ctx, pool.New(pool.DefaultBounds()))
 	s, err := site.Start(func(host int, _ logr.Logger) scheduler.Ports {
 		rnd := rand.New(rand.NewPCG(uint64(host), 1))
-		return scheduler.Ports{Store: rows.NewLink(table, rnd), Line: pool.NewLine(shared, 0, rnd), Roster: shared}
+		return scheduler.Ports{Store: rows.NewLink(table, rnd), Transport: pool.NewLine(shared, 0, rnd), Roster: shared}
 	}, site.WithHosts(1), site.WithOperatorKey(credential.NewKey("first").Hash()), site.WithSettings(settings.WithUnreadyTime(time.Millisecond)))
 	is.NoErr(err)
 	defer func() { is.NoErr(s.Stop()) }()
--- a/internal/host/process/process.go
+++ b/internal/host/process/process.go
@@ -56,7 +56,7 @@
 		expires: map[string]func() time.Time{}, metrics: scope, log: log,
 	}
 	opts := []scheduler.Option{
-		scheduler.WithMetrics(scope), scheduler.WithGrace(s.UnreadyTime() + s.StopGrace()), scheduler.WithUnreadyTime(s.UnreadyTime()),
+		scheduler.WithMetrics(scope), scheduler.WithStopTimeout(s.UnreadyTime() + s.StopGrace()), scheduler.WithUnreadyTime(s.UnreadyTime()),
 	}
 	secured, err := p.secure(s.TLS())
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 	opts = append(opts, secured...)
 	id := scheduler.Identity{
-		Name: s.PeerAddress(), Zone: s.Zone(), Peers: s.PeerAddress(), Power: float64(runtime.GOMAXPROCS(0)),
+		Name: s.PeerAddress(), Zone: s.Zone(), PeerAddress: s.PeerAddress(), Cores: float64(runtime.GOMAXPROCS(0)),
 	}
 	p.scheduler = scheduler.New(id, ports, scheduler.Configuration{Key: version.Key, Decode: version.DecodeCatalog}, log, opts...)
 	p.api = api.New(p.scheduler, s, shown)
--- a/internal/host/process/process_test.go
+++ b/internal/host/process/process_test.go
@@ -74,7 +74,7 @@
 	r.stop = cancel
 	rnd := rand.New(rand.NewPCG(1, 1))
 	shared := pool.Share(ctx, pool.New(pool.DefaultBounds()))
-	ports := scheduler.Ports{Store: rows.NewLink(rows.New(0), rnd), Line: pool.NewLine(shared, 0, rnd), Roster: shared}
+	ports := scheduler.Ports{Store: rows.NewLink(rows.New(0), rnd), Transport: pool.NewLine(shared, 0, rnd), Roster: shared}
 	var err error
 	r.Process, err = process.New(with(t, r.callers, r.peers, more), r.callers, r.peers, ports, scope, nil, logr.Discard())
 	is.NoErr(err)
--- a/internal/host/scheduler/evacuation_test.go
+++ b/internal/host/scheduler/evacuation_test.go
@@ -15,23 +15,23 @@
 	return store.Key{Table: configKey.Table, Name: "away/" + zone}
 }
 
-// zoneOf reads the key of a row that evacuates a zone.
-func zoneOf(k store.Key) (zone string, ok bool) { return strings.CutPrefix(k.Name, "away/") }
+// evacuatedZone returns the zone that the row with the key evacuates.
+func evacuatedZone(k store.Key) (zone string, ok bool) { return strings.CutPrefix(k.Name, "away/") }
 
 func (r *running) evacuated(zones ...string) func() bool {
 	return func() bool { return slices.Equal(r.Evacuations().Zones, zones) }
 }
 
-// Operators evacuate zones by rows beside the configuration, take one back and set it
-// again, while the configuration changes and the store forgets its history. The host has
-// what the rows say each time, and never loses a zone by a change of something else.
+// Operators evacuate zones by rows beside the configuration, restore one and evacuate it
+// again, while the configuration changes and the store compacts its change feed. The host
+// follows the rows each time, and no other change makes it lose an evacuated zone.
 func TestEvacuationsAreFollowed(t *testing.T) {
 	is := is.New(t)
 	r := start(t)
 	r.table.Put(evacuationKey("leon"), []byte("{}"))
 	r.table.Put(configKey, []byte("1"))
 	r.until(t, "leon", r.evacuated("leon"))
-	r.table.Put(evacuationKey("celaya"), nil) // what the row holds does not matter
+	r.table.Put(evacuationKey("celaya"), nil) // the value does not matter
 	r.until(t, "both", r.evacuated("celaya", "leon"))
 	r.table.Put(configKey, []byte("2"))
 	r.table.Remove(evacuationKey("leon"))
@@ -47,21 +47,21 @@
 	is.NoErr(<-r.ended)
 }
 
-// The store turns a host away for a while, and a zone is evacuated meanwhile. The host
-// must not count as informed by what it read before; it is as soon as it is served again.
-func TestEvacuationsOfAHostThatTheStoreTurnsAway(t *testing.T) {
+// The store refuses a host for a while, and a zone is evacuated meanwhile. What the host
+// read before must not count as current until the store serves it again.
+func TestEvacuationsOfAHostRefusedByTheStore(t *testing.T) {
 	is := is.New(t)
 	r := start(t)
 	r.table.Put(configKey, []byte("1"))
 	r.until(t, "a first reading", func() bool { return !r.Evacuations().AsOf.IsZero() })
 	r.refuse(true)
 	r.until(t, "the store lost", func() bool { return r.logged("store lost") })
-	turnedAway := boottime.Now()
+	refusedAt := boottime.Now()
 	r.table.Put(evacuationKey("leon"), []byte("{}"))
-	is.True(!r.Evacuations().AsOf.After(turnedAway))
+	is.True(!r.Evacuations().AsOf.After(refusedAt))
 	r.refuse(false)
 	r.until(t, "leon", r.evacuated("leon"))
-	r.until(t, "a later reading", func() bool { return r.Evacuations().AsOf.After(turnedAway) })
+	r.until(t, "a later reading", func() bool { return r.Evacuations().AsOf.After(refusedAt) })
 	r.stop()
 	is.NoErr(<-r.ended)
 }
--- /dev/null
+++ b/internal/host/scheduler/freshness_test.go
@@ -0,0 +1,42 @@
+package scheduler
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+// A host's process is paused for three seconds, while one queue is removed and another
+// added. Two requests arrive during the pause. Without waiting, the process would handle
+// the one by the old configuration and the other by the new one, which it reads a moment
+// after it resumes.
+func TestRequestsWaitForConfigurationAfterPause(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		f := newFreshness(time.Now)
+		took := func(ctx context.Context) time.Duration {
+			began := time.Now()
+			f.await(ctx)
+			return time.Since(began)
+		}
+		time.Sleep(freshFor - time.Millisecond)
+		is.Equal(took(t.Context()), time.Duration(0)) // still fresh
+		f.confirm()
+		time.Sleep(3 * time.Second) // the process is paused
+		go func() {
+			time.Sleep(5 * time.Millisecond)
+			f.confirm()
+		}()
+		is.Equal(took(t.Context()), 5*time.Millisecond)
+		is.Equal(took(t.Context()), time.Duration(0))
+
+		time.Sleep(3 * time.Second)
+		is.Equal(took(t.Context()), maxConfirmWait) // the store does not answer
+		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
+		defer cancel()
+		is.Equal(took(ctx), 10*time.Millisecond) // the client gave up
+	})
+}
--- a/internal/host/scheduler/scheduler.go
+++ b/internal/host/scheduler/scheduler.go
@@ -26,239 +26,238 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// Ports are the ways to what is outside.
+// Ports are the interfaces to what is outside the scheduler.
 type Ports struct {
-	Store   store.Store
-	Line    order.Transport
-	Roster  dispatcher.Roster
-	Adviser order.Adviser // nil: none
+	Store     store.Store
+	Transport order.Transport
+	Roster    dispatcher.Roster
+	Adviser   order.Adviser // may be nil
 }
 
-// Identity says which host this is.
+// Identity identifies the host.
 type Identity struct {
-	Name  string  // of the host
-	Zone  string  // its availability zone
-	Peers string  // IP:port where other hosts reach it
-	Power float64 // cores that it has; 0: not known
+	Name        string  // of the host
+	Zone        string  // its availability zone
+	PeerAddress string  // IP:port where other hosts reach it
+	Cores       float64 // 0: not known
 }
 
 // Configuration says where the configuration is stored and how it is read.
 type Configuration struct {
 	Key    store.Key
 	Decode catalog.Decode
-	// Evacuated returns the availability zone that a row of the same table and part
-	// evacuates while it is there; nil: rows do not.
-	Evacuated func(store.Key) (zone string, ok bool)
+	// EvacuatedZone returns the availability zone that a row of the same table and
+	// partition evacuates while it exists. If it is nil, no rows evacuate zones.
+	EvacuatedZone func(store.Key) (zone string, ok bool)
 }
 
-// Scheduler is one process of the system.
+// Scheduler is one instance of the scheduler.
 type Scheduler struct {
-	identity Identity
-	config   Configuration
-	grace    time.Duration // a planned stop takes at most so long
-	unready  time.Duration // of it, while the balancer learns of it
-	log      logr.Logger
-	metrics  tally.Scope
-	store    *store.Monitor
-	keeper   *catalog.Keeper
-	zones    *evacuation.Register // of the rows that evacuate zones
-	currency *currency            // of what the keeper has
-	desk     *dispatcher.Dispatcher
-	endpoint *rpc.Endpoint
-	election *leader.Election
-	entry    *entry.Entry
-	net      *peer.Transport
-	burn     *burn.Recorder // of jobs that ended while this host led
-	stopping atomic.Bool
+	identity      Identity
+	config        Configuration
+	stopTimeout   time.Duration // of a planned stop, with unreadyTime
+	unreadyTime   time.Duration // for which a planned stop keeps serving requests
+	log           logr.Logger
+	metrics       tally.Scope
+	store         *store.Monitor
+	keeper        *catalog.Keeper
+	zones         *evacuation.Register // evacuated by rows
+	freshness     *freshness           // of the keeper's configuration
+	dispatcher    *dispatcher.Dispatcher
+	endpoint      *rpc.Endpoint
+	election      *leader.Election
+	entry         *entry.Entry
+	peerTransport *peer.Transport
+	burn          *burn.Recorder // jobs that ended while this host led
+	stopping      atomic.Bool
 }
 
-// Option sets one property of a new station.
+// Option sets one property of a new scheduler.
 type Option func(*options)
 
 type options struct {
-	metrics tally.Scope
-	grace   time.Duration
-	bounds  dispatch.Bounds
-	peerTLS peer.ClientTLS // nil: peers are reached without TLS
-	unready time.Duration
+	metrics     tally.Scope
+	stopTimeout time.Duration
+	bounds      dispatch.Bounds
+	peerTLS     peer.ClientTLS // nil: peers are reached without TLS
+	unreadyTime time.Duration
 }
 
-// WithMetrics sets where the station counts; without it nothing is counted.
+// WithMetrics sets the scope of the metrics, by default none.
 func WithMetrics(s tally.Scope) Option { return func(o *options) { o.metrics = s } }
 
-// WithGrace sets how long a planned stop may take at most, by default 6 s.
-func WithGrace(d time.Duration) Option { return func(o *options) { o.grace = d } }
+// WithStopTimeout sets how long a planned stop may take at most, by default 6 s.
+func WithStopTimeout(d time.Duration) Option { return func(o *options) { o.stopTimeout = d } }
 
 // WithPeerTLS sets how peers are reached over TLS.
 func WithPeerTLS(c peer.ClientTLS) Option { return func(o *options) { o.peerTLS = c } }
 
-// WithUnreadyTime sets how long a planned stop goes on taking requests while the
-// balancer sees that the host is not ready, by default unreadyTime.
-func WithUnreadyTime(d time.Duration) Option { return func(o *options) { o.unready = d } }
+// WithUnreadyTime sets how long a planned stop keeps serving requests while the load
+// balancer detects that the host is not ready, by default 2.2 s.
+func WithUnreadyTime(d time.Duration) Option { return func(o *options) { o.unreadyTime = d } }
 
-// WithBounds sets the figures of the deployment, by default those for trials.
+// WithBounds sets the bounds of dispatching, by default dispatch.DefaultBounds.
 func WithBounds(b dispatch.Bounds) Option { return func(o *options) { o.bounds = b } }
 
-// defaultGrace is how long a planned stop may take where nothing else is said.
-const defaultGrace = 6 * time.Second
+const defaultStopTimeout = 6 * time.Second
 
-// New returns a station that is not running yet. Each process has an incarnation
-// of its own, so that a later one at the same address is told from it.
+// New returns a scheduler that does not run yet. Each process has its own holder name in
+// the leader row, so that a later process at the same address is distinguished from it.
 func New(id Identity, p Ports, c Configuration, log logr.Logger, opts ...Option) *Scheduler {
-	set := options{metrics: tally.NoopScope, grace: defaultGrace, unready: unreadyTime, bounds: dispatch.DefaultBounds()}
+	set := options{metrics: tally.NoopScope, stopTimeout: defaultStopTimeout, unreadyTime: defaultUnreadyTime, bounds: dispatch.DefaultBounds()}
 	for _, o := range opts {
 		o(&set)
 	}
 	holder := id.Name + "#" + strconv.FormatInt(time.Now().UnixNano(), 36)
 	s := &Scheduler{
-		identity: id, config: c, grace: set.grace, unready: set.unready, log: log, metrics: set.metrics,
-		keeper: catalog.NewKeeper(c.Decode), zones: evacuation.NewRegister(), currency: newCurrency(boottime.Now), burn: burn.New(holder),
+		identity: id, config: c, stopTimeout: set.stopTimeout, unreadyTime: set.unreadyTime, log: log, metrics: set.metrics,
+		keeper: catalog.NewKeeper(c.Decode), zones: evacuation.NewRegister(), freshness: newFreshness(boottime.Now), burn: burn.New(holder),
 	}
 	s.store = store.NewMonitor(store.NewInstrumented(p.Store, set.metrics), leader.RowKey, s.storeChanged)
-	desk := []dispatcher.Option{
+	dispatcherOpts := []dispatcher.Option{
 		dispatcher.WithCatalog(s.keeper), dispatcher.WithMetrics(set.metrics), dispatcher.WithJobEnded(s.recordOutcome),
 		dispatcher.WithEvacuations(s.Evacuations), dispatcher.WithRecovered(s.store.Recovered),
 	}
 	if p.Adviser != nil {
-		desk = append(desk, dispatcher.WithAdviser(p.Adviser))
+		dispatcherOpts = append(dispatcherOpts, dispatcher.WithAdviser(p.Adviser))
 	}
-	s.desk = dispatcher.New(s.store, order.NewInstrumented(p.Line, set.metrics), p.Roster, set.bounds, log, desk...)
+	s.dispatcher = dispatcher.New(s.store, order.NewInstrumented(p.Transport, set.metrics), p.Roster, set.bounds, log, dispatcherOpts...)
 	s.endpoint = rpc.New(
-		id.Peers, s.desk, s.keeper, s.store.Up, rpc.WithCores(id.Power), rpc.WithZone(id.Zone), rpc.WithLog(log),
+		id.PeerAddress, s.dispatcher, s.keeper, s.store.Up, rpc.WithCores(id.Cores), rpc.WithZone(id.Zone), rpc.WithLog(log),
 		rpc.WithStoreAnswered(s.store.LastAnswer),
-		rpc.WithAdopted(s.adopted), rpc.WithOutcomes(func() burn.Snapshot { return s.burn.Snapshot(time.Now()) }),
+		rpc.WithAdopted(s.logAdopted), rpc.WithOutcomes(func() burn.Snapshot { return s.burn.Snapshot(time.Now()) }),
 	)
-	s.net = peer.New(s.endpoint.Handle, set.peerTLS, nil, log)
-	s.election = leader.New(s.store, s.endpoint, s.desk.Lead, holder, id.Peers, log, leader.WithCores(id.Power))
+	s.peerTransport = peer.New(s.endpoint.Handle, set.peerTLS, nil, log)
+	s.election = leader.New(s.store, s.endpoint, s.dispatcher.Lead, holder, id.PeerAddress, log, leader.WithCores(id.Cores))
 	s.entry = entry.New(s.store, s.endpoint, s.endpoint, log)
-	s.endpoint.Bind(s.net, s.election, s.entry)
+	s.endpoint.Bind(s.peerTransport, s.election, s.entry)
 	return s
 }
 
 func (s *Scheduler) storeChanged(up bool, err error) {
 	s.election.StoreChanged(up)
 	if up {
-		s.log.Info("store regained", "host", s.identity.Name)
+		s.log.Info("store recovered", "host", s.identity.Name)
 		return
 	}
 	s.log.Info("store lost", "host", s.identity.Name, "error", fmt.Sprint(err))
 }
 
-func (s *Scheduler) adopted(version int64, from string) {
+func (s *Scheduler) logAdopted(version int64, from string) {
 	s.log.Info("configuration in force", "version", version, "from", from)
 }
 
-// recordOutcome counts a job that ended, for the burn report.
+// recordOutcome records a job that ended, for the burn report.
 func (s *Scheduler) recordOutcome(d dispatch.JobEnded) {
 	objectives := s.keeper.Current().Objectives()
-	well := d.State == progress.Completed
+	good := d.State == progress.Completed
 	if objectives[d.Job.Service].Within == 0 {
-		well = well && d.Took <= d.Job.Objective()
+		good = good && d.Took <= d.Job.Objective()
 	}
 	s.burn.SetObjectives(objectives)
-	s.burn.Record(d.Job.Service, d.Job.Account, d.Took, well, time.Now())
+	s.burn.Record(d.Job.Service, d.Job.Account, d.Took, good, time.Now())
 }
 
-// Burn returns the burn report of all hosts that answer.
+// Burn returns the burn report over all hosts that answer.
 func (s *Scheduler) Burn(ctx context.Context) (burn.Report, error) {
-	counted, err := s.endpoint.Burn(ctx)
+	snapshot, err := s.endpoint.Burn(ctx)
 	if err != nil {
 		return burn.Report{}, err
 	}
-	return counted.Report(time.Now(), s.keeper.Current().Objectives())
+	return snapshot.Report(time.Now(), s.keeper.Current().Objectives())
 }
 
-// Views returns what operators and clients read.
+// Views returns the endpoint that answers what operators and clients read.
 func (s *Scheduler) Views() *rpc.Endpoint { return s.endpoint }
 
-// Store returns the store as the station reaches it.
+// Store returns the store as the scheduler uses it.
 func (s *Scheduler) Store() store.Store { return s.store }
 
-// StoreUp reports whether the store serves this host, as far as is known.
+// StoreUp reports whether the store counts as up for this host.
 func (s *Scheduler) StoreUp() bool { return s.store.Up() }
 
-// Entry returns what serves requests.
+// Entry returns the entry, which serves requests of clients.
 func (s *Scheduler) Entry() *entry.Entry { return s.entry }
 
 // Catalog returns the configuration in force.
 func (s *Scheduler) Catalog() *catalog.Keeper { return s.keeper }
 
-// AwaitCatalog waits a moment if the host cannot know whether its configuration is
-// the newest, as after its process stood still. While the store is away it does not
-// wait: the configuration in force is what there is.
+// AwaitCatalog waits briefly if the configuration in force may be outdated, as after the
+// process was paused. While the store is unavailable it does not wait: there is no newer
+// configuration to read.
 func (s *Scheduler) AwaitCatalog(ctx context.Context) {
 	if s.store.Up() {
-		s.currency.await(ctx)
+		s.freshness.await(ctx)
 	}
 }
 
-// Log returns where the station logs.
+// Log returns the log.
 func (s *Scheduler) Log() logr.Logger { return s.log }
 
-// Metrics returns where the station counts.
+// Metrics returns the scope of the metrics.
 func (s *Scheduler) Metrics() tally.Scope { return s.metrics }
 
-// Stopping reports whether a planned stop has begun: clients are told not to use
-// their connections again.
+// Stopping reports whether a planned stop has begun. Clients are then asked not to reuse
+// their connections.
 func (s *Scheduler) Stopping() bool { return s.stopping.Load() }
 
-// Ready reports whether clients should be sent here. A host on which nothing can
-// be stored, as in a zone that is cut off, would refuse them all; if all hosts of
-// a zone say so, its clients go to the next zone.
+// Ready reports whether the load balancer should send clients to this host. A host that
+// cannot store jobs, as in a disconnected zone, would refuse all of them; if no host of a
+// zone is ready, its clients go to the next zone.
 func (s *Scheduler) Ready() bool {
 	return !s.stopping.Load() && s.keeper.Current() != nil && s.endpoint.CanServe()
 }
 
-// Figures of a planned stop.
 const (
-	// unreadyTime is how long a host that is to end goes on taking requests: the
-	// balancer asks each second and needs two refusals.
-	unreadyTime = 2200 * time.Millisecond
-	// stopMargin is kept of the time that a planned stop may take.
+	// defaultUnreadyTime is how long a stopping host keeps serving requests: the load
+	// balancer checks readiness every second and needs two failed checks.
+	defaultUnreadyTime = 2200 * time.Millisecond
+	// stopMargin is the part of the stop timeout that is left after draining.
 	stopMargin = 700 * time.Millisecond
 )
 
-// Run serves peers on the listener until the context ends, then stops as planned:
-// it gives up leadership at once, lets the balancer see that it is not ready, and
-// has drain finish what clients wait for. An error says that it could not serve.
+// Run serves peers on the listener until the context ends, then performs a planned stop:
+// it resigns leadership at once, waits until the load balancer sees that the host is not
+// ready, and calls drain to finish the requests in progress. It returns an error if the
+// listener fails.
 func (s *Scheduler) Run(ctx context.Context, peers net.Listener, drain func(ctx context.Context)) error {
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	failed := make(chan error, 1)
-	go func() { failed <- s.net.Serve(peers) }()
-	s.log.Info("host starts", "host", s.identity.Name, "zone", s.identity.Zone, "peers", s.identity.Peers)
-	go s.followConfig(life)
-	go s.store.Run(life)
-	elected := make(chan struct{})
+	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- s.peerTransport.Serve(peers) }()
+	s.log.Info("host started", "host", s.identity.Name, "zone", s.identity.Zone, "peers", s.identity.PeerAddress)
+	go s.followConfig(background)
+	go s.store.Run(background)
+	electionDone := make(chan struct{})
 	go func() {
 		s.election.Run(ctx)
-		close(elected)
+		close(electionDone)
 	}()
 	select {
-	case err := <-failed:
-		return fmt.Errorf("host %s: peers: %w", s.identity.Name, err)
+	case err := <-serveErr:
+		return fmt.Errorf("host %s: serve peers: %w", s.identity.Name, err)
 	case <-ctx.Done():
 	}
-	s.stop(life, elected, drain)
-	_ = peers.Close() // its loop ends by this
+	s.stop(background, electionDone, drain)
+	_ = peers.Close() // ends the loop that serves it
 	return nil
 }
 
-// stop ends the station within the time that a planned stop may take.
-func (s *Scheduler) stop(ctx context.Context, elected chan struct{}, drain func(ctx context.Context)) {
-	s.log.Info("host stops", "host", s.identity.Name)
+// stop performs a planned stop within the stop timeout.
+func (s *Scheduler) stop(ctx context.Context, electionDone chan struct{}, drain func(ctx context.Context)) {
+	s.log.Info("planned stop began", "host", s.identity.Name)
 	s.stopping.Store(true)
-	last, cancel := context.WithTimeout(ctx, max(s.grace-stopMargin, s.unready))
+	stopCtx, cancel := context.WithTimeout(ctx, max(s.stopTimeout-stopMargin, s.unreadyTime))
 	defer cancel()
 	select {
-	case <-time.After(s.unready):
-	case <-last.Done():
+	case <-time.After(s.unreadyTime):
+	case <-stopCtx.Done():
 	}
-	drain(last)
+	drain(stopCtx)
 	select {
-	case <-elected:
-	case <-last.Done():
+	case <-electionDone:
+	case <-stopCtx.Done():
 	}
-	s.net.Close()
+	s.peerTransport.Close()
 	s.log.Info("host stopped", "host", s.identity.Name)
 }
--- a/internal/host/scheduler/scheduler_test.go
+++ b/internal/host/scheduler/scheduler_test.go
@@ -23,7 +23,7 @@
 
 var configKey = store.Key{Table: "config", Name: "text"}
 
-// decode reads a configuration that is its version and nothing else.
+// decode decodes a configuration that consists of its version only.
 func decode(stored []byte) (*catalog.Catalog, error) {
 	n, err := strconv.ParseInt(string(stored), 10, 64)
 	if err != nil {
@@ -32,17 +32,17 @@
 	return catalog.New(n, nil, nil, nil, catalog.Limits{}), nil
 }
 
-// running is a station of a test.
+// running is a scheduler that runs in a test.
 type running struct {
 	*scheduler.Scheduler
-	table   *rows.Table
-	link    *rows.Link
-	peers   net.Listener
-	stop    context.CancelFunc
-	ended   chan error
-	drained chan bool // what Stopping said when drain was called
-	mu      sync.Mutex
-	lines   []string
+	table    *rows.Table
+	link     *rows.Link
+	peers    net.Listener
+	stop     context.CancelFunc
+	ended    chan error
+	drained  chan bool // what Stopping said when drain was called
+	mu       sync.Mutex
+	logLines []string
 }
 
 func start(t *testing.T) *running {
@@ -58,22 +58,22 @@
 	log := funcr.New(func(_, line string) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.lines = append(r.lines, line)
+		r.logLines = append(r.logLines, line)
 	}, funcr.Options{})
 	r.link = rows.NewLink(r.table, rnd)
-	ports := scheduler.Ports{Store: r.link, Line: pool.NewLine(shared, 0, rnd), Roster: shared}
-	id := scheduler.Identity{Name: "leon-1", Zone: "leon", Peers: l.Addr().String()}
-	r.Scheduler = scheduler.New(id, ports, scheduler.Configuration{Key: configKey, Decode: decode, Evacuated: zoneOf}, log, scheduler.WithUnreadyTime(10*time.Millisecond))
+	ports := scheduler.Ports{Store: r.link, Transport: pool.NewLine(shared, 0, rnd), Roster: shared}
+	id := scheduler.Identity{Name: "leon-1", Zone: "leon", PeerAddress: l.Addr().String()}
+	r.Scheduler = scheduler.New(id, ports, scheduler.Configuration{Key: configKey, Decode: decode, EvacuatedZone: evacuatedZone}, log, scheduler.WithUnreadyTime(10*time.Millisecond))
 	go func() {
 		r.ended <- r.Run(ctx, l, func(context.Context) { r.drained <- r.Stopping() })
 	}()
 	return r
 }
 
-// refuse has the store turn the host away, or serve it again.
+// refuse has the store refuse the host, or serve it again.
 func (r *running) refuse(on bool) { r.link.Set(rows.Trouble{Refuse: on}) }
 
-// until waits for something to come true, up to the test's own time-out.
+// until waits for a condition to become true, for at most 20 s.
 func (r *running) until(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
@@ -89,11 +89,11 @@
 func (r *running) logged(part string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return strings.Contains(strings.Join(r.lines, "\n"), part)
+	return strings.Contains(strings.Join(r.logLines, "\n"), part)
 }
 
-// A host starts before the first configuration was applied. It knows no queue and
-// would refuse every client, so the balancer must not send it any.
+// A host starts before the first configuration is applied. It knows no queue and would
+// refuse every request, so the load balancer must not send it any.
 func TestNotReadyBeforeAConfigurationIsInForce(t *testing.T) {
 	is := is.New(t)
 	r := start(t)
@@ -106,16 +106,16 @@
 	is.NoErr(<-r.ended)
 }
 
-// Another writer leaves a row in the place of the configuration that cannot be read,
-// then one of an older version. The one in force stays, a line says why, and the next
-// good one is taken.
-func TestConfigurationThatCannotBeReadChangesNothing(t *testing.T) {
+// Another writer replaces the configuration by a row that cannot be decoded, then by one
+// of an older version. The configuration in force stays, the cause is logged, and the
+// next valid one is applied.
+func TestMalformedConfigurationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	r := start(t)
 	r.table.Put(configKey, []byte("5"))
 	r.until(t, "version 5", func() bool { return r.Catalog().Version() == 5 })
 	r.table.Put(configKey, []byte("{nonsense"))
-	r.until(t, "the line", func() bool { return r.logged("configuration ignored") })
+	r.until(t, "the log line", func() bool { return r.logged("configuration ignored") })
 	is.Equal(r.Catalog().Version(), int64(5))
 	r.table.Put(configKey, []byte("4"))
 	r.table.Put(configKey, []byte("6"))
@@ -124,29 +124,29 @@
 	is.NoErr(<-r.ended)
 }
 
-// A host is stopped as planned. It says that it is not ready before it finishes what
-// clients wait for, gives the leader row back, and ends without an error.
-func TestPlannedStopGivesLeadershipBack(t *testing.T) {
+// In a planned stop a host reports that it is not ready before it drains, resigns by
+// clearing the holder in the leader row, and returns no error.
+func TestPlannedStopResignsLeadership(t *testing.T) {
 	is := is.New(t)
 	r := start(t)
 	r.table.Put(configKey, []byte("1"))
 	r.until(t, "a leader", func() bool { return r.logged("leading") })
 	r.stop()
-	is.True(<-r.drained) // not ready any more by then
+	is.True(<-r.drained) // it was not ready when it drained
 	is.NoErr(<-r.ended)
 	is.True(!r.Ready())
 	row, err := leader.DecodeRow(r.table.Get(leader.RowKey).Value)
 	is.NoErr(err)
 	is.Equal(row.Holder, "")
-	is.Equal(row.Term, int64(1)) // for the next one to go on from
+	is.Equal(row.Term, int64(1)) // the next leader increments it
 }
 
-// The listener for peers is gone, by whatever cause. A host that no peer reaches must
-// not go on as if it were well: it ends, and says why.
-func TestLostListenerEndsTheHost(t *testing.T) {
+// The listener for peers fails. A host that no peer can reach must not keep running: it
+// stops and returns the cause.
+func TestLostListenerStopsTheHost(t *testing.T) {
 	is := is.New(t)
 	r := start(t)
 	is.NoErr(r.peers.Close())
 	err := <-r.ended
-	is.True(strings.Contains(err.Error(), "host leon-1: peers"))
+	is.True(strings.Contains(err.Error(), "host leon-1: serve peers"))
 }
--- a/internal/proof/session/session_test.go
+++ b/internal/proof/session/session_test.go
@@ -93,7 +93,7 @@
 		link := rows.NewLink(table, rand.New(rand.NewPCG(uint64(host), 1)))
 		s.links = append(s.links, link)
 		line := pool.NewLine(shared, 0, rand.New(rand.NewPCG(uint64(host), 2)))
-		return scheduler.Ports{Store: link, Line: line, Roster: shared}
+		return scheduler.Ports{Store: link, Transport: line, Roster: shared}
 	}, site.WithHosts(1), site.WithOperatorKey(credential.NewKey(operator).Hash()), site.WithSettings(settings.WithUnreadyTime(10*time.Millisecond)))
 	if err != nil {
 		t.Fatal(err)
