--- a/internal/host/api/api.go
+++ b/internal/host/api/api.go
@@ -19,30 +19,30 @@
 	"guavaglade.example/guavaglade/internal/report/metrics"
 )
 
-// API serves clients and operators of one host.
+// API serves the HTTP API of one host.
 type API struct {
-	scheduler *scheduler.Scheduler
-	settings  atomic.Pointer[settings.Settings]
-	metrics   http.Handler // serves /metrics; nil for none
-	inForce   *parsed
+	scheduler   *scheduler.Scheduler
+	settings    atomic.Pointer[settings.Settings]
+	metrics     http.Handler // serves /metrics; may be nil
+	configCache *configCache
 }
 
-// New returns the API of a scheduler. If shown is nil, /metrics is not there.
-func New(st *scheduler.Scheduler, s settings.Settings, shown http.Handler) *API {
-	a := &API{scheduler: st, metrics: shown, inForce: &parsed{}}
-	a.settings.Store(&s)
+// New returns the API of a scheduler. If metricsHandler is nil, /metrics is not served.
+func New(s *scheduler.Scheduler, initial settings.Settings, metricsHandler http.Handler) *API {
+	a := &API{scheduler: s, metrics: metricsHandler, configCache: &configCache{}}
+	a.settings.Store(&initial)
 	return a
 }
 
-// SetSettings has the requests that come from now on served by other settings.
+// SetSettings replaces the settings, for later requests.
 func (a *API) SetSettings(s settings.Settings) { a.settings.Store(&s) }
 
-// Handler returns the HTTP surface.
+// Handler returns the handler of all paths.
 func (a *API) Handler() http.Handler {
-	inner := a.router()
+	router := a.router()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, int64(a.settings.Load().MaxBody()))
-		inner.ServeHTTP(w, r)
+		router.ServeHTTP(w, r)
 	})
 }
 
@@ -55,20 +55,20 @@
 	}
 	views := Views{a.scheduler}
 	v1 := r.PathPrefix("/v1").Subrouter()
-	v1.HandleFunc("/jobs", a.as(a.submit)).Methods(http.MethodPost)
-	v1.HandleFunc("/jobs", a.as(a.list)).Methods(http.MethodGet)
-	v1.HandleFunc("/jobs/{id}", a.as(a.get)).Methods(http.MethodGet)
-	v1.HandleFunc("/jobs/{id}", a.as(a.cancel)).Methods(http.MethodDelete)
-	v1.HandleFunc("/jobs/{id}/explain", a.as(a.explain)).Methods(http.MethodGet)
-	v1.HandleFunc("/configuration", a.asOperator(a.getConfiguration)).Methods(http.MethodGet)
-	v1.HandleFunc("/configuration", a.asOperator(a.putConfiguration)).Methods(http.MethodPut)
-	v1.HandleFunc("/inforce", a.asOperator(plain(views.inForce))).Methods(http.MethodGet)
-	v1.HandleFunc("/fleet", a.asOperator(plain(views.fleet))).Methods(http.MethodGet)
-	v1.HandleFunc("/burn", a.asOperator(plain(views.burn))).Methods(http.MethodGet)
-	v1.HandleFunc("/guarantees", a.as(a.guarantees)).Methods(http.MethodGet)
+	v1.HandleFunc("/jobs", a.authenticated(a.submit)).Methods(http.MethodPost)
+	v1.HandleFunc("/jobs", a.authenticated(a.list)).Methods(http.MethodGet)
+	v1.HandleFunc("/jobs/{id}", a.authenticated(a.get)).Methods(http.MethodGet)
+	v1.HandleFunc("/jobs/{id}", a.authenticated(a.cancel)).Methods(http.MethodDelete)
+	v1.HandleFunc("/jobs/{id}/explain", a.authenticated(a.explain)).Methods(http.MethodGet)
+	v1.HandleFunc("/configuration", a.operatorOnly(a.getConfiguration)).Methods(http.MethodGet)
+	v1.HandleFunc("/configuration", a.operatorOnly(a.putConfiguration)).Methods(http.MethodPut)
+	v1.HandleFunc("/inforce", a.operatorOnly(ignoreCaller(views.inForce))).Methods(http.MethodGet)
+	v1.HandleFunc("/fleet", a.operatorOnly(ignoreCaller(views.fleet))).Methods(http.MethodGet)
+	v1.HandleFunc("/burn", a.operatorOnly(ignoreCaller(views.burn))).Methods(http.MethodGet)
+	v1.HandleFunc("/guarantees", a.authenticated(a.guarantees)).Methods(http.MethodGet)
 	r.NotFoundHandler = http.HandlerFunc(noSuchPath)
-	refuseOtherMethods(r)
-	r.Use(a.counted)
+	addMethodNotAllowed(r)
+	r.Use(a.instrument)
 	return r
 }
 
@@ -76,43 +76,43 @@
 	Problem{Status: http.StatusNotFound, Detail: "no such path: " + r.URL.Path}.write(w, time.Now())
 }
 
-// counted counts and times the requests of each route by status.
-func (a *API) counted(next http.Handler) http.Handler {
+// instrument records the count and the latency of requests, by route and status.
+func (a *API) instrument(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if a.scheduler.Stopping() {
 			w.Header().Set("Connection", "close")
 		}
-		begun := time.Now()
-		seen := &statusWriter{ResponseWriter: w, status: http.StatusOK}
-		next.ServeHTTP(seen, r)
+		start := time.Now()
+		recorder := &statusRecorder{ResponseWriter: w, status: http.StatusOK}
+		next.ServeHTTP(recorder, r)
 		route, _ := mux.CurrentRoute(r).GetPathTemplate()
 		scope := a.scheduler.Metrics().Tagged(map[string]string{"route": route, "method": r.Method})
-		scope.Histogram("request_seconds", metrics.Latencies).RecordDuration(time.Since(begun))
-		scope.Tagged(map[string]string{"status": strconv.Itoa(seen.status)}).Counter("requests_total").Inc(1)
+		scope.Histogram("request_seconds", metrics.Latencies).RecordDuration(time.Since(start))
+		scope.Tagged(map[string]string{"status": strconv.Itoa(recorder.status)}).Counter("requests_total").Inc(1)
 	})
 }
 
-// statusWriter notes the status that was written.
-type statusWriter struct {
+// statusRecorder records the status that is written.
+type statusRecorder struct {
 	http.ResponseWriter
 	status int
 }
 
-// WriteHeader notes and writes the status.
-func (w *statusWriter) WriteHeader(status int) {
+// WriteHeader records and writes the status.
+func (w *statusRecorder) WriteHeader(status int) {
 	w.status = status
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// caller is who makes a request.
+// caller is the authenticated sender of a request.
 type caller struct {
 	account  text.Account
 	operator bool
 	config   *text.Config
 }
 
-// mayRead returns the account whose jobs the caller may list; empty: all.
-func (c caller) mayRead() string {
+// accountFilter returns the account whose jobs the caller may list, or "" for all.
+func (c caller) accountFilter() string {
 	if c.operator {
 		return ""
 	}
@@ -121,27 +121,27 @@
 
 type handler func(w http.ResponseWriter, r *http.Request, c caller)
 
-// plain makes a handler of one that does not ask who calls.
-func plain(f http.HandlerFunc) handler {
+// ignoreCaller adapts a handler that does not depend on the caller.
+func ignoreCaller(f http.HandlerFunc) handler {
 	return func(w http.ResponseWriter, r *http.Request, _ caller) { f(w, r) }
 }
 
-// as lets only a known key through.
-func (a *API) as(h handler) http.HandlerFunc {
+// authenticated refuses requests without a known key.
+func (a *API) authenticated(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		c, ok := a.callerOf(r)
+		c, ok := a.authenticate(r)
 		if !ok {
 			a.scheduler.Metrics().Counter("callers_refused").Inc(1)
-			Problem{Status: http.StatusUnauthorized, Detail: "show a client account's key as a bearer token"}.write(w, time.Now())
+			Problem{Status: http.StatusUnauthorized, Detail: "missing or unknown key; send a client account's key as a bearer token"}.write(w, time.Now())
 			return
 		}
 		h(w, r, c)
 	}
 }
 
-// asOperator lets only an operator's key through.
-func (a *API) asOperator(h handler) http.HandlerFunc {
-	return a.as(func(w http.ResponseWriter, r *http.Request, c caller) {
+// operatorOnly refuses requests without an operator's key.
+func (a *API) operatorOnly(h handler) http.HandlerFunc {
+	return a.authenticated(func(w http.ResponseWriter, r *http.Request, c caller) {
 		if !c.operator {
 			Problem{Status: http.StatusForbidden, Detail: "only an operator's key may do this"}.write(w, time.Now())
 			return
@@ -150,16 +150,16 @@
 	})
 }
 
-// callerOf finds the account whose key the request shows. The operator's key of
-// the settings lets the first configuration in and ends with that: if it stayed
-// valid, an operator whose account was taken out of the text could still act.
-func (a *API) callerOf(r *http.Request) (caller, bool) {
+// authenticate returns the caller whose key the request carries. The operator's key of
+// the settings is valid only until the first configuration is in force: if it stayed
+// valid, an operator whose account was removed from the text could still act.
+func (a *API) authenticate(r *http.Request) (caller, bool) {
 	key, ok := credential.Bearer(r.Header.Get("Authorization"))
 	if !ok {
 		return caller{}, false
 	}
 	a.scheduler.AwaitCatalog(r.Context())
-	config := a.inForce.config(a.scheduler.Catalog())
+	config := a.configCache.config(a.scheduler.Catalog())
 	c := caller{config: config}
 	account, found := key.Account(config)
 	if found {
@@ -171,31 +171,32 @@
 	return c, found
 }
 
-// hostBody names the host that answers.
+// hostBody is a body that names the answering host.
 type hostBody struct {
 	Host string `json:"host"`
 }
 
 func (a *API) health(w http.ResponseWriter, _ *http.Request) {
-	reply(w, http.StatusOK, hostBody{a.settings.Load().PeerAddress()})
+	writeJSON(w, http.StatusOK, hostBody{a.settings.Load().PeerAddress()})
 }
 
 func (a *API) ready(w http.ResponseWriter, _ *http.Request) {
 	if !a.scheduler.Ready() {
-		Problem{Status: http.StatusServiceUnavailable, Detail: "stopping, without a configuration, or nothing can be stored"}.write(w, time.Now())
+		Problem{Status: http.StatusServiceUnavailable, Detail: "not ready: stopping, without a configuration, or unable to store jobs"}.write(w, time.Now())
 		return
 	}
-	reply(w, http.StatusOK, hostBody{a.settings.Load().PeerAddress()})
+	writeJSON(w, http.StatusOK, hostBody{a.settings.Load().PeerAddress()})
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // a client that has gone needs no answer
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
 
-// read parses a body; it answers bad input and returns false.
-func (a *API) read(w http.ResponseWriter, r *http.Request, into any) bool {
+// decodeBody decodes a request's body. On invalid input it writes the error and returns
+// false.
+func (a *API) decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	err := d.Decode(into)
@@ -203,17 +204,18 @@
 		return true
 	}
 	a.scheduler.Metrics().Counter("callers_bad_input").Inc(1)
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
-		Problem{Status: http.StatusRequestEntityTooLarge, Detail: fmt.Sprintf("body: more than %d bytes", large.Limit)}.write(w, time.Now())
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		Problem{Status: http.StatusRequestEntityTooLarge, Detail: fmt.Sprintf("body: more than %d bytes", tooLarge.Limit)}.write(w, time.Now())
 		return false
 	}
 	Problem{Status: http.StatusBadRequest, Detail: "body: " + err.Error()}.write(w, time.Now())
 	return false
 }
 
-// unavailable answers that neither the leader nor the store could be asked.
-func unavailable(w http.ResponseWriter, err error) {
+// writeUnavailable writes the error of a request that needed the leader or the store
+// and reached neither.
+func writeUnavailable(w http.ResponseWriter, err error) {
 	now := time.Now()
 	status := http.StatusServiceUnavailable
 	if errors.Is(err, context.DeadlineExceeded) {
--- a/internal/host/api/configuration.go
+++ b/internal/host/api/configuration.go
@@ -15,24 +15,24 @@
 	"guavaglade.example/guavaglade/internal/report/view"
 )
 
-// parsed keeps the text that is in force as it was parsed last.
-type parsed struct {
+// configCache holds the configuration in force, parsed.
+type configCache struct {
 	mu      sync.Mutex
 	version version.Version
-	text    *text.Config // nil: none is in force
+	text    *text.Config // nil: no configuration is in force
 }
 
-// config returns the text in force, nil if there is none.
-func (p *parsed) config(k *catalog.Keeper) *text.Config {
-	p.current(k)
+// config returns the configuration in force, or nil if there is none.
+func (p *configCache) config(k *catalog.Keeper) *text.Config {
+	p.currentVersion(k)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.text
 }
 
-// current returns the version in force, the zero one if there is none. The keeper
-// has checked the text before it took it.
-func (p *parsed) current(k *catalog.Keeper) version.Version {
+// currentVersion returns the version in force, or the zero version if there is none. The
+// keeper has validated the text before it accepted it.
+func (p *configCache) currentVersion(k *catalog.Keeper) version.Version {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if k.Version() == p.version.Number {
@@ -56,8 +56,8 @@
 }
 
 func (a *API) getConfiguration(w http.ResponseWriter, _ *http.Request, _ caller) {
-	v := a.inForce.current(a.scheduler.Catalog())
-	reply(w, http.StatusOK, ConfigurationView{Version: v.Number, Change: v.Change, Text: v.Text})
+	v := a.configCache.currentVersion(a.scheduler.Catalog())
+	writeJSON(w, http.StatusOK, ConfigurationView{Version: v.Number, Change: v.Change, Text: v.Text})
 }
 
 func (a *API) putConfiguration(w http.ResponseWriter, r *http.Request, _ caller) {
@@ -66,7 +66,7 @@
 		Change string `json:"change"`
 		Text   string `json:"text"`
 	}
-	if !a.read(w, r, &body) {
+	if !a.decodeBody(w, r, &body) {
 		return
 	}
 	now := time.Now()
@@ -74,7 +74,7 @@
 		Problem{Status: http.StatusBadRequest, Detail: "give a change id and the base version, 0 for the first text"}.write(w, now)
 		return
 	}
-	if faults := a.check(r, body.Text); len(faults) > 0 {
+	if faults := a.checkText(r, body.Text); len(faults) > 0 {
 		Problem{Status: http.StatusUnprocessableEntity, Detail: "the text has faults; nothing was changed", Faults: faults}.write(w, now)
 		return
 	}
@@ -85,17 +85,17 @@
 	case errors.Is(err, version.ErrStaleBase):
 		Problem{Status: http.StatusConflict, Detail: err.Error(), Current: v.Number}.write(w, now)
 	case err != nil:
-		changeFailed(w, err, now)
+		writeChangeError(w, err, now)
 	default:
-		reply(w, http.StatusOK, ConfigurationView{Version: v.Number, Change: v.Change})
+		writeJSON(w, http.StatusOK, ConfigurationView{Version: v.Number, Change: v.Change})
 	}
 }
 
-// check returns the faults of a text, among them guarantees that the targets
-// registered now cannot hold together. Where the leader cannot be asked for them,
-// the guarantees are not checked: an operator must be able to change the text while
-// a zone is away.
-func (a *API) check(r *http.Request, body string) []string {
+// checkText returns the faults of a text, including guarantees that the registered
+// targets cannot satisfy together. If the leader cannot be asked for the targets, the
+// guarantees are not checked: an operator must be able to change the text while a zone
+// is unavailable.
+func (a *API) checkText(r *http.Request, body string) []string {
 	c, err := text.Parse([]byte(body))
 	if err != nil {
 		return strings.Split(err.Error(), "\n")
@@ -106,7 +106,7 @@
 		return nil
 	}
 	var faults []string
-	for zone, targets := range workersOf(f) {
+	for zone, targets := range workersByZone(f) {
 		if err := shape.NewZone(targets).Pack(c.Guarantees(zone)); err != nil {
 			faults = append(faults, "zone "+zone+": "+err.Error())
 		}
@@ -114,31 +114,31 @@
 	return faults
 }
 
-// workersOf returns the targets of each zone as guarantees see them.
-func workersOf(f view.Fleet) map[string][]shape.Worker {
+// workersByZone returns the targets of each zone as workers for checking guarantees.
+func workersByZone(f view.Fleet) map[string][]shape.Worker {
 	zones := map[string][]shape.Worker{}
 	for _, t := range f.Targets {
 		zones[t.Zone] = append(zones[t.Zone], shape.Worker{
-			Rack: t.Rack, Accelerators: t.Accelerators, Cores: t.Cores, Memory: t.MemoryMB, Slots: slots,
+			Rack: t.Rack, Accelerators: t.Accelerators, Cores: t.Cores, Memory: t.MemoryMB, Slots: unlimitedSlots,
 		})
 	}
 	return zones
 }
 
-// slots bounds the tasks of a guarantee on one target: what a target takes at
-// once is bounded by its cores and memory alone.
-const slots = 1 << 10
+// unlimitedSlots is more than any target can use: its cores and memory alone limit the
+// tasks of a guarantee on it.
+const unlimitedSlots = 1 << 10
 
-// changeFailed tells an operator whether a change that failed may have been
-// accepted. If its answer was lost it is not known; putting it again with the
-// same change id settles it.
-func changeFailed(w http.ResponseWriter, err error, now time.Time) {
-	const comeBack = 2 * time.Second // the store is seldom away for less
-	p := Problem{Status: http.StatusServiceUnavailable, Type: "notAccepted", RetryAfter: now.Add(comeBack)}
+// writeChangeError writes the error of a change, which says whether the change may have
+// been accepted. If the store's answer was lost, that is not known until the change is
+// repeated with the same change id.
+func writeChangeError(w http.ResponseWriter, err error, now time.Time) {
+	const retryDelay = 2 * time.Second // outages of the store are rarely shorter
+	p := Problem{Status: http.StatusServiceUnavailable, Type: "notAccepted", RetryAfter: now.Add(retryDelay)}
 	p.Detail = "not accepted: " + err.Error()
 	if errors.Is(err, store.ErrOutcomeUnknown) {
 		p.Status, p.Type = http.StatusGatewayTimeout, "notKnownYet"
-		p.Detail = "not known yet, put it again with the same change id: " + err.Error()
+		p.Detail = "not known yet; repeat the change with the same change id: " + err.Error()
 	}
 	p.write(w, now)
 }
--- a/internal/host/api/jobs.go
+++ b/internal/host/api/jobs.go
@@ -23,15 +23,15 @@
 	State progress.State `json:"state"`
 }
 
-// Figures of waiting for a job's end.
+// Intervals of reading the state of a job whose end a client waits for.
 const (
-	firstLook = 50 * time.Millisecond  // most small jobs take longer
-	lastLook  = 400 * time.Millisecond // a second look costs a call to the leader
+	minPollInterval = 50 * time.Millisecond  // most small jobs take longer
+	maxPollInterval = 400 * time.Millisecond // each read costs a call to the leader
 )
 
-// waitOf returns until when a client wants to wait. The wait is optional and
-// bounded by the settings.
-func (a *API) waitOf(r *http.Request, now time.Time) (time.Time, error) {
+// waitDeadline returns until when a client wants to wait. The parameter is optional, and
+// the settings limit it.
+func (a *API) waitDeadline(r *http.Request, now time.Time) (time.Time, error) {
 	q := r.URL.Query().Get("wait")
 	if q == "" {
 		return time.Time{}, nil
@@ -46,16 +46,16 @@
 func (a *API) submit(w http.ResponseWriter, r *http.Request, c caller) {
 	now := time.Now()
 	var body request.Request
-	if !a.read(w, r, &body) {
+	if !a.decodeBody(w, r, &body) {
 		return
 	}
-	until, err := a.waitOf(r, now)
+	until, err := a.waitDeadline(r, now)
 	if err != nil {
 		Problem{Status: http.StatusBadRequest, Detail: err.Error()}.write(w, now)
 		return
 	}
 	if c.account.Name() == "" {
-		Problem{Status: http.StatusForbidden, Detail: "the key is no client account's"}.write(w, now)
+		Problem{Status: http.StatusForbidden, Detail: "the key does not belong to a client account"}.write(w, now)
 		return
 	}
 	j, err := body.Resolve(c.config, c.account.Name(), now)
@@ -63,53 +63,53 @@
 		err = a.scheduler.Entry().Submit(r.Context(), j)
 	}
 	if err != nil {
-		refused(w, err)
+		writeSubmitError(w, err)
 		return
 	}
-	a.answerSubmitted(w, r, j, until)
+	a.replySubmitted(w, r, j, until)
 }
 
-// answerSubmitted answers for a job that is stored. The request id may have been
-// used before: then the job that is stored is the earlier one.
-func (a *API) answerSubmitted(w http.ResponseWriter, r *http.Request, j *graph.Job, until time.Time) {
+// replySubmitted writes the response for a stored job. If the request id was used before,
+// the stored job is the earlier one.
+func (a *API) replySubmitted(w http.ResponseWriter, r *http.Request, j *graph.Job, until time.Time) {
 	by := entry.Caller{Account: j.Account}
-	told, err := a.await(r.Context(), j.ID, by, until)
-	if err != nil { // it is accepted whether it can be told of or not
-		told = view.JobStatus{State: progress.Queued, Queue: j.Queue, Account: j.Account}
+	jobStatus, err := a.awaitEnd(r.Context(), j.ID, by, until)
+	if err != nil { // the job is accepted even if its state cannot be read
+		jobStatus = view.JobStatus{State: progress.Queued, Queue: j.Queue, Account: j.Account}
 	}
-	if told.Queue != j.Queue {
+	if jobStatus.Queue != j.Queue {
 		Problem{
 			Status: http.StatusUnprocessableEntity,
-			Detail: fmt.Sprintf("the request id was used for %s before; this request was not taken", told.Queue),
+			Detail: fmt.Sprintf("the request id was used for %s before; this request was not accepted", jobStatus.Queue),
 		}.write(w, time.Now())
 		return
 	}
 	status := http.StatusAccepted
-	if told.State.Final() {
+	if jobStatus.State.Final() {
 		status = http.StatusOK
 	}
-	reply(w, status, JobView{ID: j.ID, Job: told.Queue, State: told.State})
+	writeJSON(w, status, JobView{ID: j.ID, Job: jobStatus.Queue, State: jobStatus.State})
 }
 
-// await returns what is told of a job, once it has ended or the time is over.
-func (a *API) await(ctx context.Context, id graph.JobID, by entry.Caller, until time.Time) (view.JobStatus, error) {
-	for look := firstLook; ; look = min(2*look, lastLook) {
-		told, err := a.scheduler.Entry().State(ctx, id, by)
-		left := time.Until(until)
-		if errors.Is(err, entry.ErrNoJob) || err == nil && told.State.Final() || left <= 0 {
-			return told, err
+// awaitEnd returns the status of a job once it has ended or the deadline has passed.
+func (a *API) awaitEnd(ctx context.Context, id graph.JobID, by entry.Caller, until time.Time) (view.JobStatus, error) {
+	for interval := minPollInterval; ; interval = min(2*interval, maxPollInterval) {
+		status, err := a.scheduler.Entry().State(ctx, id, by)
+		remaining := time.Until(until)
+		if errors.Is(err, entry.ErrNoJob) || err == nil && status.State.Final() || remaining <= 0 {
+			return status, err
 		}
 		select {
-		case <-time.After(min(look, left)):
+		case <-time.After(min(interval, remaining)):
 		case <-ctx.Done():
-			return told, ctx.Err()
+			return status, ctx.Err()
 		}
 	}
 }
 
-// refused answers why a job was not taken.
-func refused(w http.ResponseWriter, err error) {
-	const comeBack = time.Second // the store and a leader are seldom away for less
+// writeSubmitError writes why a job was not accepted.
+func writeSubmitError(w http.ResponseWriter, err error) {
+	const retryDelay = time.Second // outages of the store or the leader are rarely shorter
 	now := time.Now()
 	switch {
 	case errors.Is(err, request.ErrInvalid), errors.Is(err, graph.ErrInvalid):
@@ -119,75 +119,75 @@
 	case errors.Is(err, entry.ErrNotAccepted):
 		Problem{
 			Status: http.StatusServiceUnavailable, Type: "notAccepted", Detail: err.Error(),
-			State: string(progress.NotRun), RetryAfter: now.Add(comeBack),
+			State: string(progress.NotRun), RetryAfter: now.Add(retryDelay),
 		}.write(w, now)
 	default:
-		Problem{Status: http.StatusGatewayTimeout, Type: "notKnownYet", Detail: err.Error(), RetryAfter: now.Add(comeBack)}.write(w, now)
+		Problem{Status: http.StatusGatewayTimeout, Type: "notKnownYet", Detail: err.Error(), RetryAfter: now.Add(retryDelay)}.write(w, now)
 	}
 }
 
-// jobOf returns the id of the job that a request is about.
-func jobOf(r *http.Request) graph.JobID { return graph.JobID(mux.Vars(r)["id"]) }
+// jobID returns the job id in the path of a request.
+func jobID(r *http.Request) graph.JobID { return graph.JobID(mux.Vars(r)["id"]) }
 
 func (c caller) entry() entry.Caller {
 	return entry.Caller{Account: c.account.Name(), Operator: c.operator}
 }
 
-// notFound answers for a job that is not there or not the caller's: the two are
-// not told apart.
-func notFound(w http.ResponseWriter, id graph.JobID) {
+// writeJobNotFound answers for a job that does not exist or belongs to another account;
+// the caller cannot tell which.
+func writeJobNotFound(w http.ResponseWriter, id graph.JobID) {
 	Problem{Status: http.StatusNotFound, Detail: fmt.Sprintf("no job %s", id)}.write(w, time.Now())
 }
 
-// notTold answers for a job that the entry could not serve.
-func notTold(w http.ResponseWriter, id graph.JobID, err error) {
+// writeJobError writes an error of the entry about a job.
+func writeJobError(w http.ResponseWriter, id graph.JobID, err error) {
 	if errors.Is(err, entry.ErrNoJob) {
-		notFound(w, id)
+		writeJobNotFound(w, id)
 		return
 	}
-	unavailable(w, err)
+	writeUnavailable(w, err)
 }
 
 func (a *API) get(w http.ResponseWriter, r *http.Request, c caller) {
-	id := jobOf(r)
-	until, err := a.waitOf(r, time.Now())
+	id := jobID(r)
+	until, err := a.waitDeadline(r, time.Now())
 	if err != nil {
 		Problem{Status: http.StatusBadRequest, Detail: err.Error()}.write(w, time.Now())
 		return
 	}
-	told, err := a.await(r.Context(), id, c.entry(), until)
+	status, err := a.awaitEnd(r.Context(), id, c.entry(), until)
 	if err != nil {
-		notTold(w, id, err)
+		writeJobError(w, id, err)
 		return
 	}
-	reply(w, http.StatusOK, JobView{ID: id, Job: told.Queue, State: told.State})
+	writeJSON(w, http.StatusOK, JobView{ID: id, Job: status.Queue, State: status.State})
 }
 
 func (a *API) explain(w http.ResponseWriter, r *http.Request, c caller) {
-	Views{a.scheduler}.story(w, r, c.entry())
+	Views{a.scheduler}.history(w, r, c.entry())
 }
 
 func (a *API) cancel(w http.ResponseWriter, r *http.Request, c caller) {
-	id := jobOf(r)
+	id := jobID(r)
 	if err := a.scheduler.Entry().Cancel(r.Context(), id, c.entry()); err != nil {
-		notTold(w, id, err)
+		writeJobError(w, id, err)
 		return
 	}
-	reply(w, http.StatusAccepted, struct {
+	writeJSON(w, http.StatusAccepted, struct {
 		ID graph.JobID `json:"id"`
 	}{id})
 }
 
 func (a *API) list(w http.ResponseWriter, r *http.Request, c caller) {
-	Views{a.scheduler}.jobs(w, r, c.mayRead())
+	Views{a.scheduler}.jobs(w, r, c.accountFilter())
 }
 
-// guarantees answers with what accounts are guaranteed and want now: an account's
-// own, or all to an operator.
+// guarantees answers with the guarantees and the current demand of accounts: those of the
+// caller's account, or all for an operator.
 func (a *API) guarantees(w http.ResponseWriter, r *http.Request, c caller) {
 	f, err := a.scheduler.Views().Fleet(r.Context())
 	if err != nil {
-		unavailable(w, err)
+		writeUnavailable(w, err)
 		return
 	}
 	rows := []view.Account{}
@@ -196,5 +196,5 @@
 			rows = append(rows, g)
 		}
 	}
-	reply(w, http.StatusOK, rows)
+	writeJSON(w, http.StatusOK, rows)
 }
--- a/internal/host/api/method.go
+++ b/internal/host/api/method.go
@@ -9,10 +9,10 @@
 	"github.com/gorilla/mux"
 )
 
-// refuseOtherMethods answers with 405 and the methods allowed where a path is
-// known and the method is not. The router alone says that there is no such path
-// once a later route of the same subrouter was tried.
-func refuseOtherMethods(r *mux.Router) {
+// addMethodNotAllowed adds handlers that answer 405 with the allowed methods if a path
+// is known but the method is not. The router alone would answer 404 if a later route of
+// the same subrouter was tried.
+func addMethodNotAllowed(r *mux.Router) {
 	allowed := map[string][]string{}
 	_ = r.Walk(func(route *mux.Route, _ *mux.Router, _ []*mux.Route) error {
 		path, err := route.GetPathTemplate()
@@ -25,7 +25,7 @@
 	for path, methods := range allowed {
 		r.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Allow", strings.Join(methods, ", "))
-			detail := fmt.Sprintf("%s takes %s, not %s", path, strings.Join(methods, " and "), r.Method)
+			detail := fmt.Sprintf("%s allows %s, not %s", path, strings.Join(methods, " and "), r.Method)
 			Problem{Status: http.StatusMethodNotAllowed, Detail: detail}.write(w, time.Now())
 		})
 	}
--- a/internal/host/api/openapi_test.go
+++ b/internal/host/api/openapi_test.go
@@ -14,8 +14,8 @@
 	"guavaglade.example/guavaglade/internal/host/settings"
 )
 
-// documented returns the calls that the OpenAPI page describes, as "GET /path".
-func documented(t *testing.T) []string {
+// documentedCalls returns the calls that the OpenAPI page describes, as "GET /path".
+func documentedCalls(t *testing.T) []string {
 	t.Helper()
 	f, err := os.Open("../../../docs/openapi.yaml")
 	if err != nil {
@@ -39,7 +39,7 @@
 	return calls
 }
 
-func TestEachRouteIsDocumentedAndEachDocumentedCallIsThere(t *testing.T) {
+func TestRoutesMatchOpenAPI(t *testing.T) {
 	is := is.New(t)
 	var served []string
 	a := New(nil, settings.Settings{}, http.NotFoundHandler())
@@ -51,7 +51,7 @@
 		}
 		return nil
 	}))
-	want := documented(t)
+	want := documentedCalls(t)
 	slices.Sort(served)
 	slices.Sort(want)
 	is.Equal(served, want)
--- a/internal/host/api/operator_test.go
+++ b/internal/host/api/operator_test.go
@@ -20,11 +20,10 @@
 	"guavaglade.example/guavaglade/internal/standin/site"
 )
 
-// TestSettingsKeyEndsWithTheFirstText tells of an operator who set a system up
-// with the key of its settings and then named the operators in the text. The
-// key of the settings must not serve any more, or taking an operator out of the
-// text would not keep that one out.
-func TestSettingsKeyEndsWithTheFirstText(t *testing.T) {
+// An operator sets up a system with the key of its settings, then applies a text that
+// names the operators. From then on the key of the settings must be refused: otherwise
+// removing an operator from the text would not revoke that operator's access.
+func TestSettingsKeyIsInvalidAfterFirstConfiguration(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -37,19 +36,19 @@
 	is.NoErr(err)
 	defer func() { is.NoErr(s.Stop()) }()
 	host := s.Callers(0)[:1]
-	first, named := client.New(host, "first", nil), client.New(host, "named", nil)
-	_, err = named.Configuration(ctx)
+	settingsClient, accountClient := client.New(host, "first", nil), client.New(host, "named", nil)
+	_, err = accountClient.Configuration(ctx)
 	is.Equal(statusOf(err), http.StatusUnauthorized)
-	_, err = first.Apply(ctx, 0, "change-1", "[account ops]\noperator = true\nkeyHash = "+credential.NewKey("named").Hash()+"\n")
+	_, err = settingsClient.Apply(ctx, 0, "change-1", "[account ops]\noperator = true\nkeyHash = "+credential.NewKey("named").Hash()+"\n")
 	is.NoErr(err)
 	for {
-		if v, err := named.Configuration(ctx); err == nil && v.Version == 1 {
+		if v, err := accountClient.Configuration(ctx); err == nil && v.Version == 1 {
 			break
 		}
-		is.NoErr(ctx.Err()) // in force on the host that took it
+		is.NoErr(ctx.Err()) // in force on the host that accepted it
 		time.Sleep(10 * time.Millisecond)
 	}
-	_, err = first.Configuration(ctx)
+	_, err = settingsClient.Configuration(ctx)
 	is.Equal(statusOf(err), http.StatusUnauthorized)
 }
 
--- a/internal/host/api/problem.go
+++ b/internal/host/api/problem.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Problem is an error as a caller sees it (RFC 9457).
+// Problem is the body of an error response (RFC 9457).
 type Problem struct {
-	Type       string    `json:"type"`  // about:blank, or a short name of the matter
-	Title      string    `json:"title"` // the same for each problem of the type
+	Type       string    `json:"type"`  // about:blank, notAccepted or notKnownYet
+	Title      string    `json:"title"` // the text of the status
 	Status     int       `json:"status"`
 	Detail     string    `json:"detail,omitempty"`
-	State      string    `json:"state,omitempty"` // notRun if a job was refused for good
+	State      string    `json:"state,omitempty"` // notRun if a job was refused
 	RetryAfter time.Time `json:"retryAfter,omitzero"`
-	Current    int64     `json:"current,omitempty"` // version that is current, on a race
+	Current    int64     `json:"current,omitempty"` // current version, on a conflict
 	Faults     []string  `json:"faults,omitempty"`  // of a configuration text
 }
 
-// write sends the problem. A refusal that may be tried again says when, in
-// whole seconds, also as a header.
+// write sends the problem. If it has RetryAfter, the header Retry-After gives the delay
+// in whole seconds.
 func (p Problem) write(w http.ResponseWriter, now time.Time) {
 	if p.Type == "" {
 		p.Type = "about:blank"
--- a/internal/host/api/views.go
+++ b/internal/host/api/views.go
@@ -12,7 +12,7 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// Views is what operators read of a deployment, from any of its hosts.
+// Views serves what operators read of a deployment, from any of its hosts.
 type Views struct {
 	scheduler *scheduler.Scheduler
 }
@@ -20,97 +20,96 @@
 // NewViews returns the views of a scheduler.
 func NewViews(s *scheduler.Scheduler) Views { return Views{s} }
 
-// Handler returns the views without a question for a key: they are to be served at
-// an address that only operators reach. The paths are those of the API.
+// Handler returns a handler that does not require a key: it must be served at an address
+// that only operators can reach. The paths are those of the API.
 func (v Views) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/v1/jobs", func(w http.ResponseWriter, r *http.Request) { v.jobs(w, r, "") }).Methods(http.MethodGet)
 	r.HandleFunc("/v1/jobs/{id}/explain", func(w http.ResponseWriter, r *http.Request) {
-		v.story(w, r, entry.Caller{Operator: true})
+		v.history(w, r, entry.Caller{Operator: true})
 	}).Methods(http.MethodGet)
 	r.HandleFunc("/v1/inforce", v.inForce).Methods(http.MethodGet)
 	r.HandleFunc("/v1/fleet", v.fleet).Methods(http.MethodGet)
 	r.HandleFunc("/v1/burn", v.burn).Methods(http.MethodGet)
 	r.NotFoundHandler = http.HandlerFunc(noSuchPath)
-	refuseOtherMethods(r)
+	addMethodNotAllowed(r)
 	return r
 }
 
 func (v Views) jobs(w http.ResponseWriter, r *http.Request, account string) {
 	list, err := v.scheduler.Views().Jobs(r.Context(), account)
 	if err != nil {
-		unavailable(w, err)
+		writeUnavailable(w, err)
 		return
 	}
-	reply(w, http.StatusOK, list)
+	writeJSON(w, http.StatusOK, list)
 }
 
-// story answers with a job and what the leader decided about it in its term.
-func (v Views) story(w http.ResponseWriter, r *http.Request, by entry.Caller) {
-	id := jobOf(r)
-	s, known, err := v.scheduler.Views().History(r.Context(), id)
+// history answers with a job and the leader's decisions about it in the current term.
+func (v Views) history(w http.ResponseWriter, r *http.Request, by entry.Caller) {
+	id := jobID(r)
+	history, known, err := v.scheduler.Views().History(r.Context(), id)
 	switch {
 	case err != nil:
-		unavailable(w, err)
+		writeUnavailable(w, err)
 	case !known:
-		v.storedStory(w, r, id, by)
-	case !by.MayAccess(s.Job.Account):
-		notFound(w, id)
+		v.storedHistory(w, r, id, by)
+	case !by.MayAccess(history.Job.Account):
+		writeJobNotFound(w, id)
 	default:
-		reply(w, http.StatusOK, s)
+		writeJSON(w, http.StatusOK, history)
 	}
 }
 
-// storedStory answers for a job that the leader does not know. One that was accepted
-// a moment ago is stored before the leader hears of it: it has no story yet, and is
-// not to be denied.
-func (v Views) storedStory(w http.ResponseWriter, r *http.Request, id graph.JobID, by entry.Caller) {
-	told, err := v.scheduler.Entry().State(r.Context(), id, by)
+// storedHistory answers for a job that the leader does not know. A job is stored before
+// the leader is notified, so a job that was just accepted exists but has no history yet.
+func (v Views) storedHistory(w http.ResponseWriter, r *http.Request, id graph.JobID, by entry.Caller) {
+	status, err := v.scheduler.Entry().State(r.Context(), id, by)
 	if err != nil {
-		notTold(w, id, err)
+		writeJobError(w, id, err)
 		return
 	}
-	job := view.Job{ID: id, Queue: told.Queue, Account: told.Account, State: told.State}
-	reply(w, http.StatusOK, view.History{Job: job, Decisions: []view.Decision{}})
+	job := view.Job{ID: id, Queue: status.Queue, Account: status.Account, State: status.State}
+	writeJSON(w, http.StatusOK, view.History{Job: job, Decisions: []view.Decision{}})
 }
 
 func (v Views) inForce(w http.ResponseWriter, r *http.Request) {
 	list, err := v.scheduler.Views().InForce(r.Context())
 	if err != nil {
-		unavailable(w, err)
+		writeUnavailable(w, err)
 		return
 	}
-	reply(w, http.StatusOK, list)
+	writeJSON(w, http.StatusOK, list)
 }
 
 func (v Views) fleet(w http.ResponseWriter, r *http.Request) {
 	f, err := v.scheduler.Views().Fleet(r.Context())
 	if err != nil {
-		unavailable(w, err)
+		writeUnavailable(w, err)
 		return
 	}
-	reply(w, http.StatusOK, f)
+	writeJSON(w, http.StatusOK, f)
 }
 
 // burn answers with the burn report as text, SVG or, by default, JSON.
 func (v Views) burn(w http.ResponseWriter, r *http.Request) {
 	report, err := v.scheduler.Burn(r.Context())
 	if err != nil {
-		unavailable(w, err)
+		writeUnavailable(w, err)
 		return
 	}
 	var body bytes.Buffer
-	kind, write := "application/json", report.WriteJSON
+	contentType, write := "application/json", report.WriteJSON
 	switch r.URL.Query().Get("format") {
 	case "text":
-		kind, write = "text/plain; charset=utf-8", report.WriteText
+		contentType, write = "text/plain; charset=utf-8", report.WriteText
 	case "svg":
-		kind, write = "image/svg+xml", report.WriteSVG
+		contentType, write = "image/svg+xml", report.WriteSVG
 	}
 	if err := write(&body); err != nil {
-		unavailable(w, err)
+		writeUnavailable(w, err)
 		return
 	}
-	w.Header().Set("Content-Type", kind)
-	_, _ = w.Write(body.Bytes()) // a reader that has gone needs no answer
+	w.Header().Set("Content-Type", contentType)
+	_, _ = w.Write(body.Bytes()) // fails only if the client has disconnected
 }
