--- a/internal/host/process/doc.go
+++ b/internal/host/process/doc.go
@@ -1,3 +1,3 @@
-// Package process runs one host with its listeners: callers over HTTP, peers
-// over JSON-RPC, metrics, and the planned stop.
+// Package process runs a scheduler as one process, with the HTTP API for callers, TLS on
+// its listeners, reloading of settings, and the planned stop.
 package process
--- a/internal/host/process/process.go
+++ b/internal/host/process/process.go
@@ -21,20 +21,20 @@
 	"guavaglade.example/guavaglade/internal/host/settings"
 )
 
-// Process is one host that serves the product's own interface.
+// Process is one host that serves the HTTP API of package api.
 type Process struct {
-	scheduler *scheduler.Scheduler
-	api       *api.API
-	now       settings.Settings // in force
-	callers   net.Listener
-	peers     net.Listener
-	http      *http.Server
-	expires   map[string]func() time.Time // of the certificates in use, by whom they are shown to
-	metrics   tally.Scope
-	log       logr.Logger
+	scheduler    *scheduler.Scheduler
+	api          *api.API
+	settings     settings.Settings // in force
+	callers      net.Listener
+	peers        net.Listener
+	http         *http.Server
+	certExpiries map[string]func() time.Time // by metric label "to"
+	metrics      tally.Scope
+	log          logr.Logger
 }
 
-// Listen takes the addresses that the settings name.
+// Listen opens the listeners on the addresses in the settings.
 func Listen(s settings.Settings) (callers, peers net.Listener, err error) {
 	callers, err = net.Listen("tcp", s.CallerAddress())
 	if err != nil {
@@ -42,32 +42,32 @@
 	}
 	peers, err = net.Listen("tcp", s.PeerAddress())
 	if err != nil {
-		_ = callers.Close() // the error is told
+		_ = callers.Close() // the first error is returned
 		return nil, nil, fmt.Errorf("listen for peers: %w", err)
 	}
 	return callers, peers, nil
 }
 
-// New returns a process on listeners that are open already. The ports lead to the
-// platform; shown serves the metrics, nil for none.
-func New(s settings.Settings, callers, peers net.Listener, ports scheduler.Ports, scope tally.Scope, shown http.Handler, log logr.Logger) (*Process, error) {
+// New returns a process that serves on open listeners and reaches the platform through
+// the ports. The handler serves the metrics; it may be nil.
+func New(s settings.Settings, callers, peers net.Listener, ports scheduler.Ports, scope tally.Scope, metricsHandler http.Handler, log logr.Logger) (*Process, error) {
 	p := &Process{
-		now: s, callers: netutil.LimitListener(callers, s.MaxConnections()), peers: peers,
-		expires: map[string]func() time.Time{}, metrics: scope, log: log,
+		settings: s, callers: netutil.LimitListener(callers, s.MaxConnections()), peers: peers,
+		certExpiries: map[string]func() time.Time{}, metrics: scope, log: log,
 	}
 	opts := []scheduler.Option{
 		scheduler.WithMetrics(scope), scheduler.WithStopTimeout(s.UnreadyTime() + s.StopGrace()), scheduler.WithUnreadyTime(s.UnreadyTime()),
 	}
-	secured, err := p.secure(s.TLS())
+	tlsOpts, err := p.enableTLS(s.TLS())
 	if err != nil {
 		return nil, err
 	}
-	opts = append(opts, secured...)
+	opts = append(opts, tlsOpts...)
 	id := scheduler.Identity{
 		Name: s.PeerAddress(), Zone: s.Zone(), PeerAddress: s.PeerAddress(), Cores: float64(runtime.GOMAXPROCS(0)),
 	}
 	p.scheduler = scheduler.New(id, ports, scheduler.Configuration{Key: version.Key, Decode: version.DecodeCatalog}, log, opts...)
-	p.api = api.New(p.scheduler, s, shown)
+	p.api = api.New(p.scheduler, s, metricsHandler)
 	p.http = &http.Server{
 		Handler: p.api.Handler(), MaxHeaderBytes: s.MaxHeader(),
 		ReadTimeout: s.RequestTimeout(), ReadHeaderTimeout: s.RequestTimeout(), WriteTimeout: s.MaxWait() + s.RequestTimeout(),
@@ -75,83 +75,82 @@
 	return p, nil
 }
 
-// secure puts TLS on the listeners, and returns how peers are reached over it, as
-// far as files are named for it.
-func (p *Process) secure(files settings.TLS) ([]scheduler.Option, error) {
-	report := func(err error) { p.log.Error(err, "tls", "step", "read") }
+// enableTLS wraps the listeners in TLS if the settings name files for it, and returns the
+// options with which peers are reached over TLS.
+func (p *Process) enableTLS(files settings.TLS) ([]scheduler.Option, error) {
+	logError := func(err error) { p.log.Error(err, "TLS files not reloaded", "step", "read") }
 	if files.CallerCert != "" {
-		c, err := credential.NewCertificate(files.CallerCert, files.CallerKey, report)
+		c, err := credential.NewCertificate(files.CallerCert, files.CallerKey, logError)
 		if err != nil {
 			return nil, err
 		}
 		p.callers = tls.NewListener(p.callers, c.Server())
-		p.expires["callers"] = c.Expires
+		p.certExpiries["callers"] = c.Expires
 	}
 	if files.PeerCert == "" {
 		return nil, nil
 	}
-	m, err := credential.NewMutual(files.PeerCert, files.PeerKey, files.PeerCA, report)
+	m, err := credential.NewMutual(files.PeerCert, files.PeerKey, files.PeerCA, logError)
 	if err != nil {
 		return nil, err
 	}
 	p.peers = tls.NewListener(p.peers, m.Server())
-	p.expires["peers"] = m.Expires
+	p.certExpiries["peers"] = m.Expires
 	return []scheduler.Option{scheduler.WithPeerTLS(m.Client)}, nil
 }
 
-// expiryEvery is the time between two looks at when certificates expire: they are
-// replaced days before.
-const expiryEvery = time.Minute
+// expiryInterval is the interval of updating the expiry metrics. Certificates are replaced
+// days before they expire.
+const expiryInterval = time.Minute
 
-// showExpiries shows when the certificates in use expire.
-func (p *Process) showExpiries() {
-	for to, at := range p.expires {
+// reportExpiries updates the metrics of when the certificates in use expire.
+func (p *Process) reportExpiries() {
+	for to, at := range p.certExpiries {
 		p.metrics.Tagged(map[string]string{"to": to}).Gauge("certificate_expiry_timestamp_seconds").Update(float64(at().Unix()))
 	}
 }
 
-// followExpiries goes on showing them until the context ends.
-func (p *Process) followExpiries(ctx context.Context) {
+// watchExpiries calls reportExpiries periodically until the context ends.
+func (p *Process) watchExpiries(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-time.After(expiryEvery):
-			p.showExpiries()
+		case <-time.After(expiryInterval):
+			p.reportExpiries()
 		}
 	}
 }
 
-// Reload takes over what a running host can of settings that were read again. It
-// must not be called by two goroutines at once.
+// Reload applies the settings that a running host can change, and logs those that need a
+// restart. It must not be called concurrently.
 func (p *Process) Reload(next settings.Settings) {
-	now, done := p.now.Reload(next)
-	p.now = now
-	p.api.SetSettings(now)
-	p.log.Info("reload", "changed", fmt.Sprint(done.Changed), "needRestart", fmt.Sprint(done.Restart))
+	settings, reloaded := p.settings.Reload(next)
+	p.settings = settings
+	p.api.SetSettings(settings)
+	p.log.Info("reload", "changed", fmt.Sprint(reloaded.Changed), "needRestart", fmt.Sprint(reloaded.Restart))
 }
 
-// Run serves until the context ends, then stops as planned: leadership is given
-// up, the balancer is told, callers who wait get an answer, and nothing in
-// progress is cut.
+// Run serves until the context ends, then performs a planned stop: the host resigns
+// leadership, reports that it is not ready, and finishes the requests in progress.
 func (p *Process) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	p.showExpiries()
-	go p.followExpiries(ctx)
+	p.reportExpiries()
+	go p.watchExpiries(ctx)
 	go func() {
 		err := p.http.Serve(p.callers)
 		if !errors.Is(err, http.ErrServerClosed) {
-			p.log.Error(err, "callers no longer served")
+			p.log.Error(err, "caller listener failed")
 		}
 		cancel(err)
 	}()
 	return p.scheduler.Run(ctx, p.peers, p.drain)
 }
 
-// drain finishes what callers wait for.
+// drain finishes the requests in progress.
 func (p *Process) drain(ctx context.Context) {
-	begun := time.Now()
+	start := time.Now()
 	if err := p.http.Shutdown(ctx); err != nil {
-		p.log.Info("stop", "step", "callers", "afterMS", time.Since(begun).Milliseconds(), "error", err.Error())
+		p.log.Info("requests not drained", "step", "callers", "afterMS", time.Since(start).Milliseconds(), "error", err.Error())
 	}
 }
--- a/internal/host/process/process_test.go
+++ b/internal/host/process/process_test.go
@@ -32,7 +32,7 @@
 	"guavaglade.example/guavaglade/internal/standin/rows"
 )
 
-// running is a process of a test on free ports.
+// running is a process that runs in a test, on free ports.
 type running struct {
 	*process.Process
 	callers net.Listener
@@ -41,8 +41,8 @@
 	ended   chan error
 }
 
-// with returns settings of the listeners with some more text.
-func with(t *testing.T, callers, peers net.Listener, more string) settings.Settings {
+// settingsWith returns settings for the listeners, with more settings text appended.
+func settingsWith(t *testing.T, callers, peers net.Listener, more string) settings.Settings {
 	t.Helper()
 	s, err := settings.Parse("host.ini", []byte("[host]\nzone = leon\ncallerAddress = "+callers.Addr().String()+
 		"\npeerAddress = "+peers.Addr().String()+"\n[platform]\naddress = 127.0.0.1:1\n"+more))
@@ -63,10 +63,10 @@
 
 func start(t *testing.T, more string) *running {
 	t.Helper()
-	return startCounted(t, more, tally.NoopScope)
+	return startWithMetrics(t, more, tally.NoopScope)
 }
 
-func startCounted(t *testing.T, more string, scope tally.Scope) *running {
+func startWithMetrics(t *testing.T, more string, scope tally.Scope) *running {
 	t.Helper()
 	is := is.New(t)
 	r := &running{callers: listen(t), peers: listen(t), ended: make(chan error, 1)}
@@ -76,14 +76,14 @@
 	shared := pool.Share(ctx, pool.New(pool.DefaultBounds()))
 	ports := scheduler.Ports{Store: rows.NewLink(rows.New(0), rnd), Transport: pool.NewLine(shared, 0, rnd), Roster: shared}
 	var err error
-	r.Process, err = process.New(with(t, r.callers, r.peers, more), r.callers, r.peers, ports, scope, nil, logr.Discard())
+	r.Process, err = process.New(settingsWith(t, r.callers, r.peers, more), r.callers, r.peers, ports, scope, nil, logr.Discard())
 	is.NoErr(err)
 	go func() { r.ended <- r.Run(ctx) }()
 	return r
 }
 
-// ask sends a request with a key and returns the status.
-func (r *running) ask(t *testing.T, method, path, key, body string) int {
+// request sends a request with a key and returns the status.
+func (r *running) request(t *testing.T, method, path, key, body string) int {
 	t.Helper()
 	is := is.New(t)
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+r.callers.Addr().String()+path, strings.NewReader(body))
@@ -98,30 +98,29 @@
 
 const quickStop = "[limits]\nunreadyTime = 1ms\n"
 
-// An operator whose key was seen by others replaces its hash in the settings and
-// sends SIGHUP. The old key must not serve from then on; what needs a new process,
-// as the addresses, stays.
-func TestReloadedKeyAndLimitHoldAtOnce(t *testing.T) {
+// An operator replaces the hash of a leaked key in the settings and sends SIGHUP. The old
+// key must be refused from then on. Settings that need a restart, such as the addresses,
+// stay.
+func TestReloadAppliesKeyAndLimit(t *testing.T) {
 	is := is.New(t)
 	r := start(t, quickStop+"[operator]\nkeyHash = "+credential.NewKey("seen").Hash()+"\n")
-	text := func(key string) int { return r.ask(t, http.MethodGet, "/v1/configuration", key, "") }
-	is.True(text("seen") != http.StatusUnauthorized)
-	is.Equal(text("fresh"), http.StatusUnauthorized)
-
-	r.Reload(with(t, r.callers, r.peers, "[limits]\nmaxBody = 16\n[operator]\nkeyHash = "+credential.NewKey("fresh").Hash()+"\n"))
-	is.Equal(text("seen"), http.StatusUnauthorized)
-	is.True(text("fresh") != http.StatusUnauthorized)
-	is.Equal(r.ask(t, http.MethodPut, "/v1/configuration", "fresh", `{"text": "seventeen bytes"}`), http.StatusRequestEntityTooLarge)
+	getConfiguration := func(key string) int { return r.request(t, http.MethodGet, "/v1/configuration", key, "") }
+	is.True(getConfiguration("seen") != http.StatusUnauthorized)
+	is.Equal(getConfiguration("fresh"), http.StatusUnauthorized)
+
+	r.Reload(settingsWith(t, r.callers, r.peers, "[limits]\nmaxBody = 16\n[operator]\nkeyHash = "+credential.NewKey("fresh").Hash()+"\n"))
+	is.Equal(getConfiguration("seen"), http.StatusUnauthorized)
+	is.True(getConfiguration("fresh") != http.StatusUnauthorized)
+	is.Equal(r.request(t, http.MethodPut, "/v1/configuration", "fresh", `{"text": "seventeen bytes"}`), http.StatusRequestEntityTooLarge)
 	r.stop()
 	is.NoErr(<-r.ended)
 }
 
-// A planned stop ends in good order: callers and peers are reached no more, and
-// that is no error.
+// A planned stop closes the listeners for callers and peers and returns no error.
 func TestPlannedStopClosesBothListeners(t *testing.T) {
 	is := is.New(t)
 	r := start(t, quickStop)
-	is.Equal(r.ask(t, http.MethodGet, "/healthz", "", ""), http.StatusOK)
+	is.Equal(r.request(t, http.MethodGet, "/healthz", "", ""), http.StatusOK)
 	r.stop()
 	is.NoErr(<-r.ended)
 	for _, l := range []net.Listener{r.callers, r.peers} {
@@ -133,70 +132,71 @@
 	}
 }
 
-// Two hosts were given one port. The second one says which, and keeps no other.
-func TestTakenAddressIsNamed(t *testing.T) {
+// Two hosts are given the same port. The error of the second names the address, and the
+// other listener is closed.
+func TestListenErrorNamesAddress(t *testing.T) {
 	is := is.New(t)
-	taken, free := listen(t), listen(t)
+	inUse, free := listen(t), listen(t)
 	is.NoErr(free.Close())
-	_, _, err := process.Listen(with(t, taken, free, ""))
+	_, _, err := process.Listen(settingsWith(t, inUse, free, ""))
 	is.True(strings.Contains(err.Error(), "callers"))
-	is.True(strings.Contains(err.Error(), taken.Addr().String()))
-	_, _, err = process.Listen(with(t, free, taken, ""))
+	is.True(strings.Contains(err.Error(), inUse.Addr().String()))
+	_, _, err = process.Listen(settingsWith(t, free, inUse, ""))
 	is.True(strings.Contains(err.Error(), "peers"))
 	again, err := net.Listen("tcp", free.Addr().String())
-	is.NoErr(err) // given back
+	is.NoErr(err) // the address was released
 	is.NoErr(again.Close())
-	is.NoErr(taken.Close())
+	is.NoErr(inUse.Close())
 }
 
-// certify writes a certificate that is its own authority, for 127.0.0.1 and an
-// hour, and returns the part of settings that names it.
-func certify(t *testing.T) (more string, expires time.Time, roots *x509.CertPool) {
+// writeCertificate writes a self-signed certificate for 127.0.0.1 that is valid for an
+// hour, and returns the settings text that names it.
+func writeCertificate(t *testing.T) (more string, expires time.Time, roots *x509.CertPool) {
 	t.Helper()
 	is := is.New(t)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), cryptorand.Reader)
 	is.NoErr(err)
 	expires = time.Now().Add(time.Hour).Truncate(time.Second)
-	form := &x509.Certificate{
+	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), NotAfter: expires, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature,
 	}
-	der, err := x509.CreateCertificate(cryptorand.Reader, form, form, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(cryptorand.Reader, template, template, &key.PublicKey, key)
 	is.NoErr(err)
-	secret, err := x509.MarshalPKCS8PrivateKey(key)
+	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	is.NoErr(err)
 	dir := t.TempDir()
-	cert, private := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
+	cert, keyFile := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
 	is.NoErr(os.WriteFile(cert, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o600))
-	is.NoErr(os.WriteFile(private, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: secret}), 0o600))
+	is.NoErr(os.WriteFile(keyFile, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: keyDER}), 0o600))
 	parsed, err := x509.ParseCertificate(der)
 	is.NoErr(err)
 	roots = x509.NewCertPool()
 	roots.AddCert(parsed)
-	more = fmt.Sprintf("[tls]\ncallerCert = %[1]s\ncallerKey = %[2]s\npeerCert = %[1]s\npeerKey = %[2]s\npeerCA = %[1]s\n", cert, private)
+	more = fmt.Sprintf("[tls]\ncallerCert = %[1]s\ncallerKey = %[2]s\npeerCert = %[1]s\npeerKey = %[2]s\npeerCA = %[1]s\n", cert, keyFile)
 	return more, expires, roots
 }
 
-// A certificate that nobody replaced in time cuts all callers off at once. Its last
-// moment is among the metrics, so that an alert can come before.
-func TestCertificatesAreServedAndTheirEndIsShown(t *testing.T) {
+// An expired certificate disconnects all callers at once. A metric gives the time of
+// expiry, so that an alert can fire before it.
+func TestCertificatesAreServedWithExpiryMetric(t *testing.T) {
 	is := is.New(t)
-	more, expires, roots := certify(t)
+	more, expires, roots := writeCertificate(t)
 	scope := tally.NewTestScope("", nil)
-	r := startCounted(t, quickStop+more, scope)
+	r := startWithMetrics(t, quickStop+more, scope)
 	https := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: roots}}}
 	res, err := https.Get("https://" + r.callers.Addr().String() + "/healthz")
 	is.NoErr(err)
 	is.NoErr(res.Body.Close())
 	is.Equal(res.StatusCode, http.StatusOK)
 	https.CloseIdleConnections()
-	shown := map[string]float64{}
+	expiries := map[string]float64{}
 	for _, g := range scope.Snapshot().Gauges() {
 		if g.Name() == "certificate_expiry_timestamp_seconds" {
-			shown[g.Tags()["to"]] = g.Value()
+			expiries[g.Tags()["to"]] = g.Value()
 		}
 	}
-	is.Equal(shown, map[string]float64{"callers": float64(expires.Unix()), "peers": float64(expires.Unix())})
+	is.Equal(expiries, map[string]float64{"callers": float64(expires.Unix()), "peers": float64(expires.Unix())})
 	r.stop()
 	is.NoErr(<-r.ended)
 }
