--- a/internal/host/credential/credential_test.go
+++ b/internal/host/credential/credential_test.go
@@ -41,7 +41,7 @@
 	}
 	_, ok := credential.NewKey("one").Account(nil)
 	is.True(!ok)
-	is.True(!credential.Key{}.Matches(credential.Key{}.Hash())) // the zero key is nobody's
+	is.True(!credential.Key{}.Matches(credential.Key{}.Hash())) // the zero key belongs to no account
 	is.True(!credential.NewKey("one").Matches(""))
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestKeyIsNeverShown(t *testing.T) {
+func TestKeyIsNeverPrinted(t *testing.T) {
 	k := credential.NewKey("s3cret")
 	holder := struct{ K credential.Key }{k}
 	var out bytes.Buffer
@@ -84,11 +84,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	form := &x509.Certificate{
+	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"}, NotAfter: time.Now().Add(time.Hour),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
-	der, err := x509.CreateCertificate(rand.Reader, form, form, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,11 +109,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	form := &x509.Certificate{
+	template := &x509.Certificate{
 		SerialNumber: big.NewInt(serial), NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
-	der, err := x509.CreateCertificate(rand.Reader, form, a.cert, &key.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 		pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: body})
 }
 
-// host has its files in a directory of its own.
+// host names the credential files of a host.
 type host struct{ cert, key, ca string }
 
 func newHost(t *testing.T) host {
@@ -134,7 +134,7 @@
 	return host{filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"), filepath.Join(dir, "ca.pem")}
 }
 
-func put(t *testing.T, file string, body []byte) {
+func writeFile(t *testing.T, file string, body []byte) {
 	t.Helper()
 	if err := os.WriteFile(file, body, 0o600); err != nil {
 		t.Fatal(err)
@@ -144,14 +144,14 @@
 func (h host) install(t *testing.T, a authority, serial int64) {
 	t.Helper()
 	cert, key := a.issue(t, serial)
-	put(t, h.cert, cert)
-	put(t, h.key, key)
-	put(t, h.ca, a.pem())
+	writeFile(t, h.cert, cert)
+	writeFile(t, h.key, key)
+	writeFile(t, h.ca, a.pem())
 }
 
-func (h host) mutual(t *testing.T, report credential.Report) *credential.Mutual {
+func (h host) mutualTLS(t *testing.T, onError credential.ErrorHandler) *credential.MutualTLS {
 	t.Helper()
-	m, err := credential.NewMutual(h.cert, h.key, h.ca, report)
+	m, err := credential.NewMutualTLS(h.cert, h.key, h.ca, onError)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +159,7 @@
 }
 
 // connect makes one connection and returns the serial number of the server's
-// certificate, once both sides have taken each other.
+// certificate, once both sides have accepted each other.
 func connect(t *testing.T, server *tls.Config, client func(address string) (*tls.Config, error)) (int64, error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -190,26 +190,26 @@
 	return c.ConnectionState().PeerCertificates[0].SerialNumber.Int64(), nil
 }
 
-func TestMutualRefusesStrangers(t *testing.T) {
+func TestMutualTLSRefusesUnknownAuthority(t *testing.T) {
 	is := is.New(t)
-	ours, theirs := newAuthority(t), newAuthority(t)
+	known, unknown := newAuthority(t), newAuthority(t)
 	a, b, stranger := newHost(t), newHost(t), newHost(t)
-	a.install(t, ours, 1)
-	b.install(t, ours, 2)
-	stranger.install(t, theirs, 3)
-	serial, err := connect(t, a.mutual(t, nil).Server(), b.mutual(t, nil).Client)
+	a.install(t, known, 1)
+	b.install(t, known, 2)
+	stranger.install(t, unknown, 3)
+	serial, err := connect(t, a.mutualTLS(t, nil).ServerConfig(), b.mutualTLS(t, nil).ClientConfig)
 	is.NoErr(err)
 	is.Equal(serial, int64(1))
 
-	_, err = connect(t, a.mutual(t, nil).Server(), stranger.mutual(t, nil).Client)
-	is.True(err != nil) // the stranger does not trust us
-	put(t, stranger.ca, ours.pem())
-	_, err = connect(t, a.mutual(t, nil).Server(), stranger.mutual(t, nil).Client)
-	is.True(err != nil) // we do not trust the stranger
-	_, err = connect(t, a.mutual(t, nil).Server(), func(string) (*tls.Config, error) {
-		return &tls.Config{RootCAs: poolOf(ours), ServerName: "127.0.0.1"}, nil
+	_, err = connect(t, a.mutualTLS(t, nil).ServerConfig(), stranger.mutualTLS(t, nil).ClientConfig)
+	is.True(err != nil) // the client does not trust the server's authority
+	writeFile(t, stranger.ca, known.pem())
+	_, err = connect(t, a.mutualTLS(t, nil).ServerConfig(), stranger.mutualTLS(t, nil).ClientConfig)
+	is.True(err != nil) // the server does not trust the client's authority
+	_, err = connect(t, a.mutualTLS(t, nil).ServerConfig(), func(string) (*tls.Config, error) {
+		return &tls.Config{RootCAs: poolOf(known), ServerName: "127.0.0.1"}, nil
 	})
-	is.True(err != nil) // no certificate at all
+	is.True(err != nil) // no client certificate
 }
 
 func poolOf(a authority) *x509.CertPool {
@@ -218,60 +218,59 @@
 	return p
 }
 
-// TestReplacedFilesAreUsedWithoutARestart tells of a rotation: the operator
-// copies a new certificate over the old one and, a moment later, its key. A
-// connection in that moment meets a pair that does not belong together. It
-// must be served with the old pair, the next one after the key with the new.
-func TestReplacedFilesAreUsedWithoutARestart(t *testing.T) {
+// An operator replaces a certificate and, a moment later, its key. In between the two
+// files do not match, and connections must be served with the old pair. Once the key is
+// replaced, they must be served with the new pair.
+func TestReplacedFilesAreUsedWithoutRestart(t *testing.T) {
 	is := is.New(t)
 	ca := newAuthority(t)
 	server, client := newHost(t), newHost(t)
 	server.install(t, ca, 1)
 	client.install(t, ca, 2)
 	var reports []error
-	s := server.mutual(t, func(err error) { reports = append(reports, err) })
-	c := client.mutual(t, nil)
-	config := s.Server()
+	s := server.mutualTLS(t, func(err error) { reports = append(reports, err) })
+	c := client.mutualTLS(t, nil)
+	config := s.ServerConfig()
 	use := func(want int64) {
 		t.Helper()
-		serial, err := connect(t, config, c.Client)
+		serial, err := connect(t, config, c.ClientConfig)
 		is.NoErr(err)
 		is.Equal(serial, want)
 	}
 	use(1)
 	cert, key := ca.issue(t, 3)
-	put(t, server.cert, cert)
+	writeFile(t, server.cert, cert)
 	use(1)
 	use(1)
 	is.Equal(len(reports), 1) // once, not at each connection
 	is.NoErr(os.Remove(server.key))
 	use(1)
 	is.Equal(len(reports), 2)
-	put(t, server.key, key)
+	writeFile(t, server.key, key)
 	use(3)
 	is.Equal(len(reports), 2)
 }
 
-// TestReplacedAuthorityIsUsedWithoutARestart tells of an authority that is
-// taken out of the file: its hosts are refused from the next connection on.
-func TestReplacedAuthorityIsUsedWithoutARestart(t *testing.T) {
+// When an authority is removed from the file, its hosts must be refused from the next
+// connection on.
+func TestReplacedAuthorityIsUsedWithoutRestart(t *testing.T) {
 	is := is.New(t)
-	old, fresh := newAuthority(t), newAuthority(t)
+	old, replacement := newAuthority(t), newAuthority(t)
 	a, b := newHost(t), newHost(t)
 	a.install(t, old, 1)
 	b.install(t, old, 2)
-	server, client := a.mutual(t, nil).Server(), b.mutual(t, nil).Client
+	server, client := a.mutualTLS(t, nil).ServerConfig(), b.mutualTLS(t, nil).ClientConfig
 	_, err := connect(t, server, client)
 	is.NoErr(err)
-	put(t, a.ca, fresh.pem())
+	writeFile(t, a.ca, replacement.pem())
 	_, err = connect(t, server, client)
 	is.True(err != nil)
-	put(t, a.ca, append(old.pem(), fresh.pem()...))
+	writeFile(t, a.ca, append(old.pem(), replacement.pem()...))
 	_, err = connect(t, server, client)
 	is.NoErr(err)
 }
 
-func TestCallersSeeTheReplacedCertificate(t *testing.T) {
+func TestCallersGetReplacedCertificate(t *testing.T) {
 	is := is.New(t)
 	ca, h := newAuthority(t), newHost(t)
 	h.install(t, ca, 1)
@@ -280,26 +279,26 @@
 	caller := func(string) (*tls.Config, error) {
 		return &tls.Config{RootCAs: poolOf(ca), ServerName: "127.0.0.1"}, nil
 	}
-	serial, err := connect(t, c.Server(), caller)
+	serial, err := connect(t, c.ServerConfig(), caller)
 	is.NoErr(err)
 	is.Equal(serial, int64(1))
 	h.install(t, ca, 2)
-	serial, err = connect(t, c.Server(), caller)
+	serial, err = connect(t, c.ServerConfig(), caller)
 	is.NoErr(err)
 	is.Equal(serial, int64(2))
 	is.True(c.Expires().After(time.Now()))
 }
 
-func TestFilesThatCannotBeUsedAreRefusedAtTheStart(t *testing.T) {
+func TestUnusableFilesAreRefusedAtStart(t *testing.T) {
 	is := is.New(t)
 	ca, h := newAuthority(t), newHost(t)
-	_, err := credential.NewMutual(h.cert, h.key, h.ca, nil)
+	_, err := credential.NewMutualTLS(h.cert, h.key, h.ca, nil)
 	is.True(errors.Is(err, os.ErrNotExist))
 	h.install(t, ca, 1)
-	put(t, h.ca, []byte("nothing"))
-	_, err = credential.NewMutual(h.cert, h.key, h.ca, nil)
+	writeFile(t, h.ca, []byte("nothing"))
+	_, err = credential.NewMutualTLS(h.cert, h.key, h.ca, nil)
 	is.True(err != nil)
-	put(t, h.key, []byte("nothing"))
+	writeFile(t, h.key, []byte("nothing"))
 	_, err = credential.NewCertificate(h.cert, h.key, nil)
 	is.True(err != nil)
 }
--- a/internal/host/credential/tls.go
+++ b/internal/host/credential/tls.go
@@ -10,89 +10,86 @@
 )
 
 // Certificate is a certificate with its key, from two PEM files that may be
-// replaced at any time. It is safe for use by several goroutines.
+// replaced at any time. It is safe for concurrent use.
 type Certificate struct {
-	files *files[*tls.Certificate]
+	reloader *reloader[*tls.Certificate]
 }
 
-// NewCertificate reads the files. An error says which could not be used.
-// Report may be nil.
-func NewCertificate(certFile, keyFile string, report Report) (*Certificate, error) {
-	f, err := newFiles(report, parsePair, certFile, keyFile)
+// NewCertificate reads the files. onError may be nil.
+func NewCertificate(certFile, keyFile string, onError ErrorHandler) (*Certificate, error) {
+	r, err := newReloader(onError, parsePair, certFile, keyFile)
 	if err != nil {
 		return nil, fmt.Errorf("certificate: %w", err)
 	}
-	return &Certificate{f}, nil
+	return &Certificate{r}, nil
 }
 
-func parsePair(bodies [][]byte) (*tls.Certificate, error) {
-	pair, err := tls.X509KeyPair(bodies[0], bodies[1])
+func parsePair(contents [][]byte) (*tls.Certificate, error) {
+	pair, err := tls.X509KeyPair(contents[0], contents[1])
 	if err != nil {
 		return nil, err
 	}
 	return &pair, nil
 }
 
-// Expires returns when the certificate in use is no longer valid.
-func (c *Certificate) Expires() time.Time { return c.files.current().Leaf.NotAfter }
+// Expires returns when the certificate in use expires.
+func (c *Certificate) Expires() time.Time { return c.reloader.current().Leaf.NotAfter }
 
-// Server returns the TLS configuration towards callers, who need no
-// certificate of their own.
-func (c *Certificate) Server() *tls.Config {
+// ServerConfig returns the TLS configuration for connections of callers, which need no
+// client certificate.
+func (c *Certificate) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return c.files.current(), nil
+			return c.reloader.current(), nil
 		},
 	}
 }
 
-// Mutual is a host's proof towards other hosts and its check of theirs, from
-// PEM files that may be replaced at any time. It is safe for use by several
-// goroutines.
-type Mutual struct {
-	own         *Certificate
-	authorities *files[*x509.CertPool]
+// MutualTLS authenticates this host to other hosts and other hosts to this one, from PEM
+// files that may be replaced at any time. It is safe for concurrent use.
+type MutualTLS struct {
+	cert        *Certificate
+	authorities *reloader[*x509.CertPool]
 }
 
-// NewMutual reads the files: the host's own certificate and key, and the
-// certificates of the authorities that other hosts' are checked against.
-// Report may be nil.
-func NewMutual(certFile, keyFile, caFile string, report Report) (*Mutual, error) {
-	own, err := NewCertificate(certFile, keyFile, report)
+// NewMutualTLS reads the files: the host's own certificate and key, and the certificates
+// of the authorities that must have issued those of other hosts. onError may be nil.
+func NewMutualTLS(certFile, keyFile, caFile string, onError ErrorHandler) (*MutualTLS, error) {
+	cert, err := NewCertificate(certFile, keyFile, onError)
 	if err != nil {
 		return nil, fmt.Errorf("mutual TLS: %w", err)
 	}
-	pool, err := newFiles(report, parsePool, caFile)
+	pool, err := newReloader(onError, parsePool, caFile)
 	if err != nil {
 		return nil, fmt.Errorf("mutual TLS: authorities: %w", err)
 	}
-	return &Mutual{own, pool}, nil
+	return &MutualTLS{cert, pool}, nil
 }
 
-// Expires returns when the host's own certificate is no longer valid.
-func (m *Mutual) Expires() time.Time { return m.own.Expires() }
+// Expires returns when the host's own certificate expires.
+func (m *MutualTLS) Expires() time.Time { return m.cert.Expires() }
 
-func parsePool(bodies [][]byte) (*x509.CertPool, error) {
+func parsePool(contents [][]byte) (*x509.CertPool, error) {
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(bodies[0]) {
+	if !pool.AppendCertsFromPEM(contents[0]) {
 		return nil, errors.New("no certificate in the file")
 	}
 	return pool, nil
 }
 
-// Server returns the configuration for connections that other hosts open. It
+// ServerConfig returns the TLS configuration for connections that other hosts open. It
 // refuses a host without a certificate of one of the authorities.
 //
-// Sessions are not resumed: a resumed one would skip the check, so that a host
-// whose authority was taken out of the file could still come back.
-func (m *Mutual) Server() *tls.Config {
+// Sessions are not resumed: a resumed session skips the check, so that a host whose
+// authority was removed from the file could reconnect.
+func (m *MutualTLS) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 			return &tls.Config{
 				MinVersion:             tls.VersionTLS13,
-				Certificates:           []tls.Certificate{*m.own.files.current()},
+				Certificates:           []tls.Certificate{*m.cert.reloader.current()},
 				ClientAuth:             tls.RequireAndVerifyClientCert,
 				ClientCAs:              m.authorities.current(),
 				SessionTicketsDisabled: true,
@@ -101,11 +98,11 @@
 	}
 }
 
-// Client returns the configuration for one connection to another host at
-// IP:port. The host must show a certificate of one of the authorities with that
-// IP among its subject alternative names. Ask for a new configuration for each
-// connection: it holds the authorities of the moment.
-func (m *Mutual) Client(address string) (*tls.Config, error) {
+// ClientConfig returns the TLS configuration for one connection to the host at an
+// IP:port. The host must present a certificate of one of the authorities with that IP
+// among its subject alternative names. Each connection needs a new configuration, since
+// it contains the current authorities.
+func (m *MutualTLS) ClientConfig(address string) (*tls.Config, error) {
 	ip, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, fmt.Errorf("mutual TLS: connect to %s: %w", address, err)
@@ -115,7 +112,7 @@
 		ServerName: ip,
 		RootCAs:    m.authorities.current(),
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return m.own.files.current(), nil
+			return m.cert.reloader.current(), nil
 		},
 	}, nil
 }
--- a/internal/host/process/process.go
+++ b/internal/host/process/process.go
@@ -84,19 +84,19 @@
 		if err != nil {
 			return nil, err
 		}
-		p.callers = tls.NewListener(p.callers, c.Server())
+		p.callers = tls.NewListener(p.callers, c.ServerConfig())
 		p.certExpiries["callers"] = c.Expires
 	}
 	if files.PeerCert == "" {
 		return nil, nil
 	}
-	m, err := credential.NewMutual(files.PeerCert, files.PeerKey, files.PeerCA, logError)
+	m, err := credential.NewMutualTLS(files.PeerCert, files.PeerKey, files.PeerCA, logError)
 	if err != nil {
 		return nil, err
 	}
-	p.peers = tls.NewListener(p.peers, m.Server())
+	p.peers = tls.NewListener(p.peers, m.ServerConfig())
 	p.certExpiries["peers"] = m.Expires
-	return []scheduler.Option{scheduler.WithPeerTLS(m.Client)}, nil
+	return []scheduler.Option{scheduler.WithPeerTLS(m.ClientConfig)}, nil
 }
 
 // expiryInterval is the interval of updating the expiry metrics. Certificates are replaced
