--- a/internal/host/process/process.go
+++ b/internal/host/process/process.go
@@ -127,7 +127,7 @@
 	settings, reloaded := p.settings.Reload(next)
 	p.settings = settings
 	p.api.SetSettings(settings)
-	p.log.Info("reload", "changed", fmt.Sprint(reloaded.Changed), "needRestart", fmt.Sprint(reloaded.Restart))
+	p.log.Info("reload", "changed", fmt.Sprint(reloaded.Changed), "needRestart", fmt.Sprint(reloaded.NeedRestart))
 }
 
 // Run serves until the context ends, then performs a planned stop: the host resigns
--- a/internal/host/settings/check.go
+++ b/internal/host/settings/check.go
@@ -16,22 +16,22 @@
 	return nil
 }
 
-// checkOwn checks an address that this host listens on and gives to others.
-// Port 0 lets the operating system choose.
-func checkOwn(address string) error {
+// checkListenAddress checks an address that this host listens on and that others connect
+// to. With port 0 the operating system chooses the port.
+func checkListenAddress(address string) error {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return fmt.Errorf("%q is not IP:port; host names are not allowed", address)
 	}
 	if a.Addr().IsUnspecified() {
-		return fmt.Errorf("%q: others are told this address, so it must be one they can reach", address)
+		return fmt.Errorf("%q: unspecified IP; callers and peers must be able to connect to the address", address)
 	}
 	return nil
 }
 
-// checkReached checks an address that this host connects to.
-func checkReached(address string) error {
-	if err := checkOwn(address); err != nil {
+// checkDialAddress checks an address that this host connects to.
+func checkDialAddress(address string) error {
+	if err := checkListenAddress(address); err != nil {
 		return err
 	}
 	if netip.MustParseAddrPort(address).Port() == 0 {
--- a/internal/host/settings/doc.go
+++ b/internal/host/settings/doc.go
@@ -1,12 +1,11 @@
-// Package settings holds what one process of the system is told when it starts:
-// its addresses and availability zone, the platform, TLS files and limits. Other
-// hosts are not named: each finds the leader by the platform's store, and the
-// leader knows the others.
+// Package settings holds the settings of one process: its addresses and availability
+// zone, the platform, TLS files and limits. They do not name other hosts: each host finds
+// the leader in the platform's store, and the leader knows the other hosts.
 //
-// Settings are INI. Every key is checked; an unknown key or section and a host
-// name in place of an IP number are refused with file, line and reason, all
-// faults at once. What they share with the configuration text is the form only:
-// settings are read once at the start and concern one host.
+// Settings are an INI file. Every key is checked: an unknown key or section, or a host
+// name in place of an IP address, is reported with file, line and reason, and all faults
+// are reported together. Settings share only the syntax with the configuration text: they
+// are read at start and on reload, and concern one host.
 //
 //	[host]       zone, callerAddress, peerAddress, logLevel
 //	[platform]   address
--- a/internal/host/settings/parse.go
+++ b/internal/host/settings/parse.go
@@ -8,13 +8,13 @@
 	"guavaglade.example/guavaglade/internal/config/document"
 )
 
-// Error tells all that is wrong with a settings file.
+// Error contains all faults of a settings file.
 type Error struct {
 	file   string
 	faults document.Faults // never empty
 }
 
-// Faults returns what is wrong, sorted by line.
+// Faults returns the faults, sorted by line.
 func (e *Error) Faults() document.Faults { return e.faults }
 
 // Error returns a line for each fault, with file and line.
@@ -26,7 +26,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads the settings of a file.
+// Load reads settings from a file.
 func Load(file string) (Settings, error) {
 	body, err := os.ReadFile(file)
 	if err != nil {
@@ -35,22 +35,21 @@
 	return Parse(file, body)
 }
 
-// Parse reads settings. The name stands for the file in errors, which are of
-// type *Error and tell all faults at once.
+// Parse parses settings. Errors are of type *Error, contain all faults, and name the file.
 func Parse(name string, body []byte) (Settings, error) {
 	d := document.Read(body)
 	s := defaults()
 	for _, f := range fields {
-		at := d.Section(f.section)
+		section := d.Section(f.section)
 		if f.required {
-			at.Require(f.key)
+			section.Require(f.key)
 		}
-		f.read(at, f.key, &s)
-		if at.Has(f.key) {
-			s.origins[f.name()] = fmt.Sprintf("%s:%d", name, at.KeyLine(f.key))
+		f.read(section, f.key, &s)
+		if section.Has(f.key) {
+			s.sources[f.name()] = fmt.Sprintf("%s:%d", name, section.KeyLine(f.key))
 		}
 	}
-	s.checkFiles(d)
+	s.checkTLS(d)
 	checkSections(d)
 	if faults := d.Faults(); len(faults) > 0 {
 		return Settings{}, &Error{file: name, faults: faults}
@@ -58,23 +57,23 @@
 	return s, nil
 }
 
-// checkFiles refuses TLS that is half set: a host without one of the files
-// would start in plain text, which its operator did not mean.
-func (s *Settings) checkFiles(d *document.Document) {
-	at := d.Section("tls")
+// checkTLS refuses incomplete TLS settings. With one file missing, the host would
+// otherwise start without TLS, which its operator did not intend.
+func (s *Settings) checkTLS(d *document.Document) {
+	section := d.Section("tls")
 	for _, group := range [][]string{{"callerCert", "callerKey"}, {"peerCert", "peerKey", "peerCA"}} {
-		set := 0
+		count := 0
 		for _, key := range group {
-			if at.Has(key) {
-				set++
+			if section.Has(key) {
+				count++
 			}
 		}
-		if set == 0 || set == len(group) {
+		if count == 0 || count == len(group) {
 			continue
 		}
 		for _, key := range group {
-			if !at.Has(key) {
-				at.Faultf(key, "missing; %s are set together or not at all", strings.Join(group, ", "))
+			if !section.Has(key) {
+				section.Faultf(key, "missing; %s are set together or not at all", strings.Join(group, ", "))
 			}
 		}
 	}
@@ -85,11 +84,11 @@
 	for _, f := range fields {
 		known[f.section] = true
 	}
-	for _, at := range d.Sections() {
-		if known[at.Name()] {
-			at.Unknown()
+	for _, section := range d.Sections() {
+		if known[section.Name()] {
+			section.Unknown()
 			continue
 		}
-		at.Fault("", "unknown section; known are host, platform, tls, operator, limits")
+		section.Fault("", "unknown section; known are host, platform, tls, operator, limits")
 	}
 }
--- a/internal/host/settings/print.go
+++ b/internal/host/settings/print.go
@@ -6,20 +6,19 @@
 	"strings"
 )
 
-// Print writes every key in force as INI, each with its unit, its default and
-// where it was set. A key that is not set, and the operator's key hash, are
-// written as comments. What is written reads back as the same settings, but for
-// that hash.
+// Print writes all settings as INI, each with its unit, its default and where it was set.
+// Keys that are not set and the operator's key hash are written as comments. Parsing the
+// output gives the same settings, without that hash.
 func (s Settings) Print(w io.Writer) error {
 	var b strings.Builder
-	base := defaults()
+	defaultSettings := defaults()
 	section := ""
 	for _, f := range fields {
 		if f.section != section {
 			section = f.section
 			fmt.Fprintf(&b, "[%s]\n", section)
 		}
-		s.printField(&b, f, f.show(&base))
+		s.printField(&b, f, f.show(&defaultSettings))
 	}
 	if _, err := io.WriteString(w, b.String()); err != nil {
 		return fmt.Errorf("print settings: %w", err)
@@ -27,7 +26,7 @@
 	return nil
 }
 
-func (s Settings) printField(b *strings.Builder, f field, base string) {
+func (s Settings) printField(b *strings.Builder, f field, defaultValue string) {
 	value := f.show(&s)
 	switch {
 	case value == "":
@@ -37,18 +36,18 @@
 	default:
 		fmt.Fprintf(b, "%s = %s", f.key, value)
 	}
-	from := s.origin(f.name(), value != base)
-	if base == "" {
-		base = "none"
+	source := s.source(f.name(), value != defaultValue)
+	if defaultValue == "" {
+		defaultValue = "none"
 	}
-	fmt.Fprintf(b, " ; %s; default %s; from %s\n", f.unit, base, from)
+	fmt.Fprintf(b, " ; %s; default %s; from %s\n", f.unit, defaultValue, source)
 }
 
-// origin returns where a key was set: a file and line, the program that made
-// the settings, or nowhere.
-func (s Settings) origin(name string, set bool) string {
-	if at, ok := s.origins[name]; ok {
-		return at
+// source returns where a key was set: a file and line, the program that created the
+// settings, or the default.
+func (s Settings) source(name string, set bool) string {
+	if location, ok := s.sources[name]; ok {
+		return location
 	}
 	if set {
 		return "the program"
--- a/internal/host/settings/reload.go
+++ b/internal/host/settings/reload.go
@@ -6,32 +6,31 @@
 	"guavaglade.example/guavaglade/internal/config/document"
 )
 
-// Reloaded is what became of settings that were read again.
-type Reloaded struct {
-	Changed []string // keys that were taken over, as section.key
-	Restart []string // keys that only a new process takes over
+// ReloadResult lists the changed keys of a reload, as section.key.
+type ReloadResult struct {
+	Changed     []string // applied
+	NeedRestart []string // not applied; they need a restart
 }
 
-// Reload returns the settings with those keys of a newer reading that a running
-// host takes over.
-func (s Settings) Reload(next Settings) (Settings, Reloaded) {
-	now := s
-	now.origins = maps.Clone(s.origins)
-	var done Reloaded
+// Reload returns the settings with the values of next that a running host can apply.
+func (s Settings) Reload(next Settings) (Settings, ReloadResult) {
+	current := s
+	current.sources = maps.Clone(s.sources)
+	var result ReloadResult
 	for _, f := range fields {
 		switch {
 		case f.show(&s) == f.show(&next):
-		case f.take == nil:
-			done.Restart = append(done.Restart, f.name())
+		case f.reload == nil:
+			result.NeedRestart = append(result.NeedRestart, f.name())
 		default:
-			f.take(&now, &next)
-			now.origins[f.name()] = next.origins[f.name()]
-			done.Changed = append(done.Changed, f.name())
+			f.reload(&current, &next)
+			current.sources[f.name()] = next.sources[f.name()]
+			result.Changed = append(result.Changed, f.name())
 		}
 	}
-	return now, done
+	return current, result
 }
 
-// Are reports whether a text is meant as settings of a host, and not as a
-// configuration: it has the section that only those have.
-func Are(body []byte) bool { return document.Read(body).Section("host").Line() > 0 }
+// IsSettings reports whether a text is the settings of a host, and not a configuration:
+// only settings have a section host.
+func IsSettings(body []byte) bool { return document.Read(body).Section("host").Line() > 0 }
--- a/internal/host/settings/settings.go
+++ b/internal/host/settings/settings.go
@@ -6,44 +6,43 @@
 	"time"
 )
 
-// Settings is what a process is told when it starts. Settings never change
-// once made. The zero Settings is not valid: make settings with New, Load or
-// Parse.
+// Settings are the settings of a process. They are immutable. The zero Settings is
+// invalid: use New, Load or Parse.
 type Settings struct {
-	zone          string // never empty
-	callerAddress string // IP:port, not the unspecified IP
-	peerAddress   string // IP:port, not the unspecified IP
-	logLevel      string // debug, info, warn or error
-	platform      string // IP:port of the platform's store
-	tls           TLS
-	operatorKey   string // SHA-256 in hexadecimal, empty for none
-	limits        Limits
-	origins       map[string]string // section.key to where it was set; absent: default
+	zone            string // never empty
+	callerAddress   string // IP:port, not the unspecified IP
+	peerAddress     string // IP:port, not the unspecified IP
+	logLevel        string // debug, info, warn or error
+	platform        string // IP:port of the platform's store
+	tls             TLS
+	operatorKeyHash string // SHA-256 in hexadecimal, empty for none
+	limits          Limits
+	sources         map[string]string // section.key to where it was set; absent: default
 }
 
-// TLS names PEM files. The callers' files are both set or both empty, the
-// peers' files are all set or all empty; empty means plain TCP.
+// TLS names PEM files. The files for callers are both set or both empty, and so are the
+// three files for peers; empty means plain TCP.
 type TLS struct {
 	CallerCert, CallerKey     string
 	PeerCert, PeerKey, PeerCA string
 }
 
-// Limits bound what one host takes on.
+// Limits bound the requests and connections of one host, and the time of a planned stop.
 type Limits struct {
 	MaxBody        int           // bytes of a request's body
 	MaxHeader      int           // bytes of a request's headers
-	MaxConnections int           // callers' connections at once
-	RequestTimeout time.Duration // to read a request, and to write an answer
+	MaxConnections int           // open connections of callers
+	RequestTimeout time.Duration // to read a request, and to write a response
 	MaxWait        time.Duration // longest ?wait= of a caller
-	StopGrace      time.Duration // of a planned stop, for callers that wait
-	UnreadyTime    time.Duration // of a planned stop, until the balancer sends nobody here
+	StopGrace      time.Duration // of a planned stop, to finish requests in progress
+	UnreadyTime    time.Duration // of a planned stop, until the load balancer has noticed
 }
 
 // Option sets one property of new settings.
 type Option func(*Settings)
 
-// New returns settings for a host of the zone. What no option sets has its
-// default. It refuses a zone or an address that would be refused in a file.
+// New returns settings for a host of the zone, with defaults for what no option sets. It
+// refuses a zone or an address that Parse would refuse.
 func New(zone, callerAddress, peerAddress, platform string, opts ...Option) (Settings, error) {
 	s := defaults()
 	s.zone, s.callerAddress, s.peerAddress, s.platform = zone, callerAddress, peerAddress, platform
@@ -51,7 +50,7 @@
 		o(&s)
 	}
 	for _, check := range []error{
-		checkZone(zone), checkOwn(callerAddress), checkOwn(peerAddress), checkReached(platform),
+		checkZone(zone), checkListenAddress(callerAddress), checkListenAddress(peerAddress), checkDialAddress(platform),
 	} {
 		if check != nil {
 			return Settings{}, fmt.Errorf("settings: %w", check)
@@ -60,14 +59,14 @@
 	return s, nil
 }
 
-// WithUnreadyTime sets how long a planned stop goes on taking requests.
+// WithUnreadyTime sets how long a planned stop keeps serving requests.
 func WithUnreadyTime(d time.Duration) Option {
 	return func(s *Settings) { s.limits.UnreadyTime = d }
 }
 
-// WithOperatorKey sets the SHA-256, in hexadecimal, of the key that may apply
+// WithOperatorKeyHash sets the SHA-256, in hexadecimal, of the key that may apply
 // the first configuration.
-func WithOperatorKey(hash string) Option { return func(s *Settings) { s.operatorKey = hash } }
+func WithOperatorKeyHash(hash string) Option { return func(s *Settings) { s.operatorKeyHash = hash } }
 
 func defaults() Settings {
 	return Settings{
@@ -81,17 +80,17 @@
 			StopGrace:      20 * time.Second,
 			UnreadyTime:    2 * time.Second,
 		},
-		origins: map[string]string{},
+		sources: map[string]string{},
 	}
 }
 
 // Zone returns the host's availability zone.
 func (s Settings) Zone() string { return s.zone }
 
-// CallerAddress returns the IP:port that callers and operators reach.
+// CallerAddress returns the IP:port that callers and operators connect to.
 func (s Settings) CallerAddress() string { return s.callerAddress }
 
-// PeerAddress returns the IP:port that other hosts reach.
+// PeerAddress returns the IP:port that other hosts connect to.
 func (s Settings) PeerAddress() string { return s.peerAddress }
 
 // Platform returns the IP:port of the platform's store.
@@ -100,34 +99,34 @@
 // TLS returns the TLS files; empty names mean plain TCP.
 func (s Settings) TLS() TLS { return s.tls }
 
-// OperatorKeyHash returns the SHA-256 in hexadecimal of the key that may act as
-// operator while no configuration is in force, empty for none.
-func (s Settings) OperatorKeyHash() string { return s.operatorKey }
+// OperatorKeyHash returns the SHA-256, in hexadecimal, of the key that is an operator's
+// while no configuration is in force; empty for none.
+func (s Settings) OperatorKeyHash() string { return s.operatorKeyHash }
 
-// MaxBody returns the largest body of a caller's request in bytes.
+// MaxBody returns the maximum size of a request's body in bytes.
 func (s Settings) MaxBody() int { return s.limits.MaxBody }
 
-// MaxHeader returns the largest headers of a caller's request in bytes.
+// MaxHeader returns the maximum size of a request's headers in bytes.
 func (s Settings) MaxHeader() int { return s.limits.MaxHeader }
 
-// MaxConnections returns how many callers' connections are open at once.
+// MaxConnections returns the maximum number of open connections of callers.
 func (s Settings) MaxConnections() int { return s.limits.MaxConnections }
 
-// RequestTimeout returns how long a request may take to be read, and an answer
-// to be written, beside the time that a caller asks to wait.
+// RequestTimeout returns how long reading a request and writing its response may take,
+// not counting the wait that a caller asked for.
 func (s Settings) RequestTimeout() time.Duration { return s.limits.RequestTimeout }
 
-// MaxWait returns the longest wait that a caller is given.
+// MaxWait returns the longest wait that a caller can ask for.
 func (s Settings) MaxWait() time.Duration { return s.limits.MaxWait }
 
-// UnreadyTime returns how long a planned stop goes on taking requests after the
-// host has said that it is not ready, so that the balancer has time to see it.
+// UnreadyTime returns how long a planned stop keeps serving requests after the host
+// reports that it is not ready, so that the load balancer notices it.
 func (s Settings) UnreadyTime() time.Duration { return s.limits.UnreadyTime }
 
-// StopGrace returns how long a planned stop waits for callers' answers.
+// StopGrace returns how long a planned stop waits for requests in progress.
 func (s Settings) StopGrace() time.Duration { return s.limits.StopGrace }
 
-// LogLevel returns the least level that is logged.
+// LogLevel returns the lowest level that is logged.
 func (s Settings) LogLevel() slog.Level {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(s.logLevel)); err != nil {
--- a/internal/host/settings/settings_test.go
+++ b/internal/host/settings/settings_test.go
@@ -16,7 +16,7 @@
 	"guavaglade.example/guavaglade/internal/host/settings"
 )
 
-const whole = `[host]
+const fullSettings = `[host]
 zone = bajio-1
 callerAddress = 127.0.0.1:8080
 peerAddress = 127.0.0.1:9080
@@ -30,7 +30,7 @@
 
 func TestParse(t *testing.T) {
 	is := is.New(t)
-	s, err := settings.Parse("host.ini", []byte(whole))
+	s, err := settings.Parse("host.ini", []byte(fullSettings))
 	is.NoErr(err)
 	is.Equal(s.Zone(), "bajio-1")
 	is.Equal(s.Platform(), "127.0.0.1:7000")
@@ -38,14 +38,14 @@
 	is.Equal(s.MaxBody(), 1<<20)
 }
 
-func TestParseNamesEachFaultyLine(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
 		{"host name", "127.0.0.1:7000", "platform:7000", `host.ini: line 6: [platform] address: "platform:7000" is not IP:port; host names are not allowed`},
-		{"host name of this host", "127.0.0.1:9080", "localhost:9080", `line 4: [host] peerAddress: "localhost:9080" is not IP:port`},
-		{"section of the past", "[operator]", "[peers bajio-2]\naddresses = 127.0.0.1:9081\n[operator]", "line 7: [peers bajio-2] unknown section"},
+		{"host name as own address", "127.0.0.1:9080", "localhost:9080", `line 4: [host] peerAddress: "localhost:9080" is not IP:port`},
+		{"removed section", "[operator]", "[peers bajio-2]\naddresses = 127.0.0.1:9081\n[operator]", "line 7: [peers bajio-2] unknown section"},
 		{"no port", "127.0.0.1:8080", "127.0.0.1", `line 3: [host] callerAddress: "127.0.0.1" is not IP:port`},
-		{"unreachable IP", "127.0.0.1:8080", "0.0.0.0:8080", `line 3: [host] callerAddress: "0.0.0.0:8080": others are told this address`},
-		{"unreachable port", "127.0.0.1:7000", "127.0.0.1:0", `line 6: [platform] address: "127.0.0.1:0": port 0`},
+		{"unspecified IP", "127.0.0.1:8080", "0.0.0.0:8080", `line 3: [host] callerAddress: "0.0.0.0:8080": unspecified IP; callers and peers must be able to connect`},
+		{"port 0", "127.0.0.1:7000", "127.0.0.1:0", `line 6: [platform] address: "127.0.0.1:0": port 0`},
 		{"unknown key", "maxWait", "maxWaiting", "line 10: [limits] maxWaiting: unknown key; known here: maxBody"},
 		{"unknown section", "[limits]", "[limit]", "line 9: [limit] unknown section"},
 		{"missing key", "zone = bajio-1\n", "", "line 1: [host] zone: missing"},
@@ -54,13 +54,13 @@
 		{"bad duration", "90s", "90", `line 10: [limits] maxWait: "90" is not a duration`},
 		{"out of range", "90s", "-1s", `line 10: [limits] maxWait: "-1s" is out of range, want 0s to 24h0m0s`},
 		{"short hash", "9f86d08", "9f", "line 8: [operator] keyHash: not a SHA-256"},
-		{"half of TLS", "[limits]", "[tls]\ncallerCert = a.pem\n[limits]", "line 9: [tls] callerKey: missing; callerCert, callerKey are set together"},
+		{"incomplete TLS", "[limits]", "[tls]\ncallerCert = a.pem\n[limits]", "line 9: [tls] callerKey: missing; callerCert, callerKey are set together"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.True(strings.Contains(whole, c.old)) // the case changes something
-			_, err := settings.Parse("host.ini", []byte(strings.Replace(whole, c.old, c.new, 1)))
+			is.True(strings.Contains(fullSettings, c.old)) // the replacement has an effect
+			_, err := settings.Parse("host.ini", []byte(strings.Replace(fullSettings, c.old, c.new, 1)))
 			is.True(err != nil)
 			if !strings.Contains(err.Error(), c.want) {
 				t.Fatalf("got\n%v\nwant\n%s", err, c.want)
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestParseTellsAllFaultsAtOnce(t *testing.T) {
+func TestParseReportsAllFaults(t *testing.T) {
 	is := is.New(t)
 	_, err := settings.Parse("host.ini", []byte("[host]\nzone = a b\ncallerAddress = x\nspare = 1\n[other]\n"))
 	var e *settings.Error
@@ -81,10 +81,10 @@
 	is.Equal(lines, []int{0, 1, 2, 3, 4, 5}) // platform, peerAddress, zone, callerAddress, spare, [other]
 }
 
-func TestPrintReadsBack(t *testing.T) {
+func TestPrintedSettingsParse(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "host.ini")
-	is.NoErr(os.WriteFile(file, []byte(whole), 0o600))
+	is.NoErr(os.WriteFile(file, []byte(fullSettings), 0o600))
 	s, err := settings.Load(file)
 	is.NoErr(err)
 	var first bytes.Buffer
@@ -121,32 +121,32 @@
 	is.Equal(s.UnreadyTime(), time.Second)
 }
 
-// An operator changes a key of each kind and sends SIGHUP: what a running host can
-// take over is in force, and the other keys are named, so that nobody believes them
-// to be.
-func TestReloadSaysWhatNeedsANewProcess(t *testing.T) {
+// An operator changes keys of each kind and sends SIGHUP. Those that a running host can
+// apply must be in force, and the others must be listed, so that nobody takes them to be
+// in force.
+func TestReloadReportsWhatNeedsRestart(t *testing.T) {
 	is := is.New(t)
-	s, err := settings.Parse("host.ini", []byte(whole))
+	s, err := settings.Parse("host.ini", []byte(fullSettings))
 	is.NoErr(err)
 	next, err := settings.Parse("host.ini", []byte(strings.NewReplacer(
 		"bajio-1", "bajio-2", "90s", "91s\nmaxBody = 7", "[platform]", "logLevel = debug\n[platform]",
-	).Replace(whole)))
+	).Replace(fullSettings)))
 	is.NoErr(err)
 	now, done := s.Reload(next)
-	is.Equal(done, settings.Reloaded{Changed: []string{"host.logLevel", "limits.maxBody"}, Restart: []string{"host.zone", "limits.maxWait"}})
+	is.Equal(done, settings.ReloadResult{Changed: []string{"host.logLevel", "limits.maxBody"}, NeedRestart: []string{"host.zone", "limits.maxWait"}})
 	is.Equal(now.LogLevel(), slog.LevelDebug)
 	is.Equal(now.MaxBody(), 7)
 	is.Equal(now.Zone(), "bajio-1")
 	is.Equal(now.MaxWait(), 90*time.Second)
-	is.Equal(s.MaxBody(), 1<<20) // the earlier settings are left as they were
+	is.Equal(s.MaxBody(), 1<<20) // the earlier settings are unchanged
 	_, done = now.Reload(now)
-	is.Equal(done, settings.Reloaded{})
+	is.Equal(done, settings.ReloadResult{})
 }
 
-func TestAreTellsSettingsFromConfiguration(t *testing.T) {
+func TestIsSettings(t *testing.T) {
 	is := is.New(t)
-	is.True(settings.Are([]byte(whole)))
-	is.True(settings.Are([]byte("[host]\n")))
-	is.True(!settings.Are([]byte("[service refill]\n")))
-	is.True(!settings.Are(nil))
+	is.True(settings.IsSettings([]byte(fullSettings)))
+	is.True(settings.IsSettings([]byte("[host]\n")))
+	is.True(!settings.IsSettings([]byte("[service refill]\n")))
+	is.True(!settings.IsSettings(nil))
 }
--- a/internal/operator/command/check.go
+++ b/internal/operator/command/check.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return checked{}, err
 	}
-	if settings.Are(body) {
+	if settings.IsSettings(body) {
 		return checkSettings(file, body)
 	}
 	return checkConfiguration(file, body)
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -70,7 +70,7 @@
 }
 
 // WithOperatorKey lets the key with the hash apply the first configuration.
-func WithOperatorKey(hash string) Option { return WithSettings(settings.WithOperatorKey(hash)) }
+func WithOperatorKey(hash string) Option { return WithSettings(settings.WithOperatorKeyHash(hash)) }
 
 // WithLog sets the log of all hosts, by default none.
 func WithLog(l logr.Logger) Option { return func(s *Site) { s.log = l } }
