--- a/internal/host/api/api.go
+++ b/internal/host/api/api.go
@@ -87,7 +87,7 @@
 		next.ServeHTTP(recorder, r)
 		route, _ := mux.CurrentRoute(r).GetPathTemplate()
 		scope := a.scheduler.Metrics().Tagged(map[string]string{"route": route, "method": r.Method})
-		scope.Histogram("request_seconds", metrics.Latencies).RecordDuration(time.Since(start))
+		scope.Histogram("request_seconds", metrics.LatencyBuckets).RecordDuration(time.Since(start))
 		scope.Tagged(map[string]string{"status": strconv.Itoa(recorder.status)}).Counter("requests_total").Inc(1)
 	})
 }
--- a/internal/host/api/operator_test.go
+++ b/internal/host/api/operator_test.go
@@ -31,11 +31,11 @@
 	shared := pool.Share(ctx, pool.New(pool.DefaultBounds()))
 	s, err := site.Start(func(host int, _ logr.Logger) scheduler.Ports {
 		rnd := rand.New(rand.NewPCG(uint64(host), 1))
-		return scheduler.Ports{Store: rows.NewLink(table, rnd), Transport: pool.NewLine(shared, 0, rnd), Roster: shared}
+		return scheduler.Ports{Store: rows.NewLink(table, rnd), Transport: pool.NewTransport(shared, 0, rnd), Roster: shared}
 	}, site.WithHosts(1), site.WithOperatorKey(credential.NewKey("first").Hash()), site.WithSettings(settings.WithUnreadyTime(time.Millisecond)))
 	is.NoErr(err)
 	defer func() { is.NoErr(s.Stop()) }()
-	host := s.Callers(0)[:1]
+	host := s.CallerAddresses(0)[:1]
 	settingsClient, accountClient := client.New(host, "first", nil), client.New(host, "named", nil)
 	_, err = accountClient.Configuration(ctx)
 	is.Equal(statusOf(err), http.StatusUnauthorized)
--- a/internal/host/scheduler/scheduler_test.go
+++ b/internal/host/scheduler/scheduler_test.go
@@ -61,7 +61,7 @@
 		r.logLines = append(r.logLines, line)
 	}, funcr.Options{})
 	r.link = rows.NewLink(r.table, rnd)
-	ports := scheduler.Ports{Store: r.link, Transport: pool.NewLine(shared, 0, rnd), Roster: shared}
+	ports := scheduler.Ports{Store: r.link, Transport: pool.NewTransport(shared, 0, rnd), Roster: shared}
 	id := scheduler.Identity{Name: "leon-1", Zone: "leon", PeerAddress: l.Addr().String()}
 	r.Scheduler = scheduler.New(id, ports, scheduler.Configuration{Key: configKey, Decode: decode, EvacuatedZone: evacuatedZone}, log, scheduler.WithUnreadyTime(10*time.Millisecond))
 	go func() {
@@ -71,7 +71,7 @@
 }
 
 // refuse has the store refuse the host, or serve it again.
-func (r *running) refuse(on bool) { r.link.Set(rows.Trouble{Refuse: on}) }
+func (r *running) refuse(on bool) { r.link.SetFaults(rows.Faults{Refuse: on}) }
 
 // until waits for a condition to become true, for at most 20 s.
 func (r *running) until(t *testing.T, what string, f func() bool) {
--- a/internal/host/settings/parse.go
+++ b/internal/host/settings/parse.go
@@ -86,7 +86,7 @@
 	}
 	for _, section := range d.Sections() {
 		if known[section.Name()] {
-			section.Unknown()
+			section.CheckUnknownKeys()
 			continue
 		}
 		section.Fault("", "unknown section; known are host, platform, tls, operator, limits")
