--- a/internal/host/settings/field.go
+++ b/internal/host/settings/field.go
@@ -14,7 +14,7 @@
 	required     bool
 	secret       bool // the value is not printed
 	read         func(d *document.Section, key string, s *Settings)
-	show         func(s *Settings) string // empty: not set
+	format       func(s *Settings) string // empty: not set
 	reload       func(s, from *Settings)  // applies a new value to a running host; nil: needs a restart
 }
 
@@ -30,7 +30,7 @@
 		read: func(d *document.Section, key string, s *Settings) {
 			s.logLevel = d.Choice(key, s.logLevel, "debug", "info", "warn", "error")
 		},
-		show:   func(s *Settings) string { return s.logLevel },
+		format: func(s *Settings) string { return s.logLevel },
 		reload: func(s, from *Settings) { s.logLevel = from.logLevel },
 	},
 	textField("platform", "address", "IP:port of the platform's store", true, checkDialAddress, func(s *Settings) *string { return &s.platform }),
@@ -62,7 +62,7 @@
 		}
 		*value(s) = v
 	}
-	return field{section: section, key: key, unit: unit, required: required, read: read, show: func(s *Settings) string { return *value(s) }}
+	return field{section: section, key: key, unit: unit, required: required, read: read, format: func(s *Settings) string { return *value(s) }}
 }
 
 // reloadable returns the field with a function that applies a new value to a running host.
@@ -86,12 +86,12 @@
 	read := func(d *document.Section, key string, s *Settings) {
 		*value(s) = d.Int(key, *value(s), minValue, maxValue)
 	}
-	return field{section: "limits", key: key, unit: unit, read: read, show: func(s *Settings) string { return strconv.Itoa(*value(s)) }}
+	return field{section: "limits", key: key, unit: unit, read: read, format: func(s *Settings) string { return strconv.Itoa(*value(s)) }}
 }
 
 func durationField(key, unit string, minValue, maxValue time.Duration, value func(*Settings) *time.Duration) field {
 	read := func(d *document.Section, key string, s *Settings) {
 		*value(s) = d.Duration(key, *value(s), minValue, maxValue)
 	}
-	return field{section: "limits", key: key, unit: unit, read: read, show: func(s *Settings) string { return value(s).String() }}
+	return field{section: "limits", key: key, unit: unit, read: read, format: func(s *Settings) string { return value(s).String() }}
 }
--- a/internal/host/settings/print.go
+++ b/internal/host/settings/print.go
@@ -18,7 +18,7 @@
 			section = f.section
 			fmt.Fprintf(&b, "[%s]\n", section)
 		}
-		s.printField(&b, f, f.show(&defaultSettings))
+		s.printField(&b, f, f.format(&defaultSettings))
 	}
 	if _, err := io.WriteString(w, b.String()); err != nil {
 		return fmt.Errorf("print settings: %w", err)
@@ -27,7 +27,7 @@
 }
 
 func (s Settings) printField(b *strings.Builder, f field, defaultValue string) {
-	value := f.show(&s)
+	value := f.format(&s)
 	switch {
 	case value == "":
 		fmt.Fprintf(b, "; %s is not set", f.key)
--- a/internal/host/settings/reload.go
+++ b/internal/host/settings/reload.go
@@ -19,7 +19,7 @@
 	var result ReloadResult
 	for _, f := range fields {
 		switch {
-		case f.show(&s) == f.show(&next):
+		case f.format(&s) == f.format(&next):
 		case f.reload == nil:
 			result.NeedRestart = append(result.NeedRestart, f.name())
 		default:
