--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -71,7 +71,7 @@
 }
 
 // WithOperatorKey sets the hash of the key that may apply the first configuration.
-func WithOperatorKey(hash string) Option { return WithSettings(settings.WithOperatorKey(hash)) }
+func WithOperatorKey(hash string) Option { return WithSettings(settings.WithOperatorKeyHash(hash)) }
 
 // WithLog sets the logger of all hosts, by default none.
 func WithLog(l logr.Logger) Option { return func(s *Site) { s.log = l } }
