--- a/internal/proof/deployment/chaos_test.go
+++ b/internal/proof/deployment/chaos_test.go
@@ -15,7 +15,7 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// request is a job that a client hands in.
+// request is a job that a client submits.
 type request struct {
 	At       time.Duration
 	Priority int
@@ -63,37 +63,37 @@
 	return q
 }
 
-// script is a whole day.
+// script is a whole run: what clients submit and which faults are injected. It is
+// recorded as JSON under the names of the fields.
 type script struct {
 	Seed     uint64
 	Requests []request
-	Troubles []trouble
+	Troubles []fault
 }
 
 func drawScript(t *rapid.T) script {
 	return script{
 		Seed:     rapid.Uint64().Draw(t, "seed"),
 		Requests: rapid.SliceOfN(rapid.Custom(drawRequest), 4, 25).Draw(t, "requests"),
-		Troubles: rapid.SliceOfN(rapid.Custom(drawTrouble), 1, 7).Draw(t, "troubles"),
+		Troubles: rapid.SliceOfN(rapid.Custom(drawFault), 1, 7).Draw(t, "troubles"),
 	}
 }
 
-// Anything goes wrong, several things at once and more than once, while clients
-// hand in jobs of every sort. Whatever happens, no promise is broken, and when
-// all is well again every accepted job comes to its end.
+// Faults of all kinds are injected, also several at once, while clients submit jobs of
+// all kinds. No guarantee is violated, and once all faults are over every accepted job
+// ends.
 func TestChaos(t *testing.T) {
 	seeded.Check(t, func(rt *rapid.T) {
 		s := drawScript(rt)
-		if faults, log := s.play(t); len(faults) > 0 {
-			text, _ := json.Marshal(s) // plain numbers and texts
-			rt.Fatalf("%v\n%s\n%s\nkeep this in testdata/chaos: %s", s.Troubles, strings.Join(faults, "\n"), log, text)
+		if violations, log := s.run(t); len(violations) > 0 {
+			text, _ := json.Marshal(s) // numbers and strings always marshal
+			rt.Fatalf("%v\n%s\n%s\nadd this to testdata/chaos: %s", s.Troubles, strings.Join(violations, "\n"), log, text)
 		}
 	})
 }
 
-// Scripts that once showed a fault, played again. What each showed stands in
-// testdata/chaos/README.md.
-func TestChaosFound(t *testing.T) {
+// Runs the scripts that have found defects. testdata/chaos/README.md says which.
+func TestChaosRegressions(t *testing.T) {
 	files, err := filepath.Glob("testdata/chaos/*.json")
 	if err != nil || len(files) == 0 {
 		t.Fatal("no scripts", err)
@@ -108,29 +108,29 @@
 			if err := json.Unmarshal(text, &s); err != nil {
 				t.Fatal(err)
 			}
-			if faults, log := s.play(t); len(faults) > 0 {
-				t.Errorf("%s\n%s", strings.Join(faults, "\n"), log)
+			if violations, log := s.run(t); len(violations) > 0 {
+				t.Errorf("%s\n%s", strings.Join(violations, "\n"), log)
 			}
 		})
 	}
 }
 
-// play plays a script and returns the faults and the log.
-func (s script) play(t *testing.T) (faults []string, log string) {
+// run executes a script and returns the violations and the newest log lines.
+func (s script) run(t *testing.T) (violations []string, log string) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, s.Seed, 4, 3)
-		defer r.close()
+		d := newDeployment(t, s.Seed, 4, 3)
+		defer d.close()
 		began := time.Now()
-		at := func(d time.Duration, f func()) {
+		schedule := func(d time.Duration, f func()) {
 			time.AfterFunc(time.Until(began.Add(d)), f)
 		}
 		events := make(chan func(), 256)
-		for _, x := range s.Troubles {
-			at(x.At, func() { events <- func() { r.begin(x) } })
-			at(x.At+x.For, func() { events <- func() { r.heal(x) } })
+		for _, f := range s.Troubles {
+			schedule(f.At, func() { events <- func() { d.inject(f) } })
+			schedule(f.At+f.For, func() { events <- func() { d.heal(f) } })
 		}
 		for _, q := range s.Requests {
-			at(q.At, func() { events <- func() { r.hand(q, events) } })
+			schedule(q.At, func() { events <- func() { d.submitRequest(q, events) } })
 		}
 		end := time.After(33 * time.Second)
 		for running := true; running; {
@@ -141,26 +141,26 @@
 				running = false
 			}
 		}
-		r.healAll()
-		r.settle(120 * time.Second)
-		faults, log = r.faults, r.recent()
+		d.healAll()
+		d.awaitEnds(120 * time.Second)
+		violations, log = d.violations, d.recentLogs()
 	})
-	return faults, log
+	return violations, log
 }
 
-// hand hands a request in, and cancels it where it is to be cancelled.
-func (r *rig) hand(q request, events chan func()) {
-	j := r.graph(q.Priority, q.Steps...)
-	b := works(q.Work)
+// submitRequest submits the job of a request, and cancels it after q.Cancel if that is set.
+func (d *deployment) submitRequest(q request, events chan func()) {
+	j := d.newJob(q.Priority, q.Steps...)
+	b := succeedsAfter(q.Work)
 	b.Fails = func(id graph.TaskID, run int) bool {
 		return int(hash(id.String(), run)%100) < q.Fails
 	}
-	s := r.submit(j, b)
+	s := d.submit(j, b)
 	if q.Cancel > 0 {
 		time.AfterFunc(q.Cancel, func() {
 			events <- func() {
 				if accepted, _, _ := s.get(); accepted {
-					r.cancel(s)
+					d.cancel(s)
 				}
 			}
 		})
--- a/internal/proof/deployment/doc.go
+++ b/internal/proof/deployment/doc.go
@@ -1,6 +1,6 @@
-// Package deployment proves what the system promises over a whole deployment in
-// virtual time: hosts that elect a leader, dispatch and take requests, over
-// stand-ins of the store and of the targets, while hosts, links, the store and
-// targets fail. Each start that a target begins is judged; at the end every
-// accepted job has come to its end. It has test files only.
+// Package deployment tests the guarantees of the system over a whole deployment in
+// virtual time: hosts elect a leader, dispatch jobs and serve requests over stand-ins
+// of the store and of the targets, while hosts, links, the store and targets fail.
+// The stand-in checks each start on a target against the guarantees, and at the end
+// of a test every accepted job must have ended. It has test files only.
 package deployment
--- /dev/null
+++ b/internal/proof/deployment/faults_test.go
@@ -0,0 +1,241 @@
+package deployment
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"guavaglade.example/guavaglade/internal/standin/pool"
+	"guavaglade.example/guavaglade/internal/standin/rows"
+)
+
+// fault is one fault to inject, with its start and duration.
+type fault struct {
+	Kind  string
+	At    time.Duration
+	For   time.Duration
+	Which int     // index of the host or target
+	Share float64 // of targets, orders, answers or jobs that are affected
+}
+
+func (f fault) String() string {
+	return fmt.Sprintf("%s at %s for %s (%d, %.2f)", f.Kind, f.At, f.For, f.Which, f.Share)
+}
+
+var faultKinds = []string{
+	"kill", "kill leader", "stop", "stop leader", "kill all", "cut store", "cut leader from store", "store down",
+	"store loses", "store late", "store slow", "forget", "cut zone", "cut targets", "orders lost", "orders late",
+	"target dies", "target reborn", "target hangs", "target fails", "target slow", "target drains", "target rejects", "cancel", "cut hosts",
+}
+
+func drawFault(t *rapid.T) fault {
+	return fault{
+		Kind:  rapid.SampledFrom(faultKinds).Draw(t, "kind"),
+		At:    time.Duration(rapid.IntRange(2000, 22000).Draw(t, "at")) * time.Millisecond,
+		For:   time.Duration(rapid.IntRange(300, 9000).Draw(t, "for")) * time.Millisecond,
+		Which: rapid.IntRange(0, 11).Draw(t, "which"),
+		Share: rapid.Float64Range(0.05, 0.6).Draw(t, "share"),
+	}
+}
+
+func (d *deployment) host(which int) *host { return d.hosts[which%len(d.hosts)] }
+
+// targetID returns the id of a target in the roster, empty if there is none.
+func (d *deployment) targetID(which int) string {
+	id := ""
+	d.pool.Do(func(p *pool.Pool, _ time.Time) {
+		if list := p.Roster(); len(list) > 0 {
+			id = list[which%len(list)].ID
+		}
+	})
+	return id
+}
+
+// inject starts a fault.
+func (d *deployment) inject(f fault) {
+	d.logger("test").Info("fault injected", "kind", f.Kind, "for", f.For.String(), "which", f.Which, "share", f.Share)
+	switch f.Kind {
+	case "kill", "stop":
+		d.endHost(d.host(f.Which), f.Kind == "kill")
+	case "kill leader", "stop leader":
+		if h := d.leader(); h != nil {
+			d.endHost(h, f.Kind == "kill leader")
+		}
+	case "kill all":
+		for _, h := range d.hosts {
+			d.endHost(h, true)
+		}
+	case "cut hosts":
+		for _, h := range d.hosts {
+			d.network.setDisconnected(h.address, d.host(f.Which).address, true)
+		}
+	case "forget":
+		d.table.Forget()
+	case "cancel":
+		for _, s := range d.submissions {
+			if accepted, _, _ := s.get(); accepted && d.rnd.Float64() < f.Share {
+				d.cancel(s)
+			}
+		}
+	default:
+		if strings.HasPrefix(f.Kind, "target") {
+			d.injectTargetFault(f)
+		} else {
+			d.injectLinkFault(f)
+		}
+	}
+}
+
+func (d *deployment) endHost(h *host, kill bool) {
+	switch {
+	case h.down:
+	case kill:
+		d.kill(h)
+	default:
+		d.stop(h)
+	}
+}
+
+func (d *deployment) injectLinkFault(f fault) {
+	switch f.Kind {
+	case "cut store":
+		d.host(f.Which).storeLink.Set(rows.Trouble{Silent: true})
+	case "cut leader from store":
+		if h := d.leader(); h != nil {
+			h.storeLink.Set(rows.Trouble{Refuse: true})
+		}
+	case "store down":
+		d.setStoreLinks(rows.Trouble{Silent: f.Which%2 == 0, Refuse: f.Which%2 == 1})
+	case "store loses":
+		d.setStoreLinks(rows.Trouble{Lose: f.Share})
+	case "store late":
+		d.setStoreLinks(rows.Trouble{Late: f.Share, LateBy: time.Duration(f.Which) * time.Second / 2})
+	case "store slow":
+		d.setStoreLinks(rows.Trouble{Slow: time.Duration(f.Which) * 80 * time.Millisecond})
+	case "orders lost":
+		d.setTargetLinks(pool.Fault{Lose: f.Share / 2})
+	case "orders late":
+		d.setTargetLinks(pool.Fault{Late: f.Share / 2, LateBy: time.Duration(f.Which) * time.Second})
+	case "cut targets":
+		d.setTargetLinks(pool.Fault{Cut: d.sampleTargets(f.Share)})
+	case "cut zone":
+		d.disconnectZone(f.Which)
+	}
+}
+
+// sampleTargets returns the ids of all targets, true for about a share of them. The
+// choice depends on the ids alone.
+func (d *deployment) sampleTargets(share float64) map[string]bool {
+	cut := map[string]bool{}
+	for id := range d.allTargetIDs() {
+		cut[id] = float64(hash(id, 0)%100)/100 < share
+	}
+	return cut
+}
+
+// disconnectZone disconnects one host and one rack from everything else.
+func (d *deployment) disconnectZone(which int) {
+	isolated, zone := d.host(which), fmt.Sprintf("zone%d", which%3)
+	inside, outside := map[string]bool{}, map[string]bool{}
+	d.pool.Do(func(p *pool.Pool, _ time.Time) {
+		for _, t := range p.Roster() {
+			inside[t.ID], outside[t.ID] = t.Zone == zone, t.Zone != zone
+		}
+	})
+	for _, h := range d.hosts {
+		if h == isolated || h.down {
+			continue
+		}
+		d.network.setDisconnected(h.address, isolated.address, true)
+		h.targetLink.Set(pool.Fault{Cut: inside})
+	}
+	if !isolated.down {
+		isolated.storeLink.Set(rows.Trouble{Silent: true})
+		isolated.targetLink.Set(pool.Fault{Cut: outside})
+	}
+}
+
+func (d *deployment) injectTargetFault(f fault) {
+	id := d.targetID(f.Which)
+	if id == "" {
+		return
+	}
+	d.pool.Do(func(p *pool.Pool, now time.Time) {
+		switch f.Kind {
+		case "target dies":
+			p.Kill(id, now)
+		case "target reborn":
+			d.incarnations++
+			p.Add(d.target(f.Which%3, f.Which%4, 1+d.incarnations), 0.99, now)
+		case "target hangs":
+			p.Hang(id, true)
+		case "target fails":
+			p.FailAll(id, true)
+		case "target slow":
+			p.Slow(id, 0.2)
+		case "target drains":
+			p.Drain(id)
+		case "target rejects":
+			p.Reject(id, true)
+		}
+	})
+}
+
+// heal ends a fault. It resets all hosts and links, and all targets if the fault is one
+// of a target, so overlapping faults of the same sort end together.
+func (d *deployment) heal(f fault) {
+	d.logger("test").Info("fault healed", "kind", f.Kind)
+	d.healHosts()
+	d.setStoreLinks(rows.Trouble{})
+	d.setTargetLinks(pool.Fault{})
+	if strings.HasPrefix(f.Kind, "target") {
+		d.healTargets()
+	}
+}
+
+func (d *deployment) healHosts() {
+	for i, h := range d.hosts {
+		for _, o := range d.hosts[:i] {
+			d.network.setDisconnected(h.address, o.address, false)
+		}
+		if h.down {
+			d.restart(h)
+		}
+	}
+}
+
+// healTargets ends the faults of all targets. It kills those that drain and adds a new
+// incarnation in place of each that is missing.
+func (d *deployment) healTargets() {
+	d.pool.Do(func(p *pool.Pool, now time.Time) {
+		present := map[string]bool{}
+		for _, t := range p.Roster() {
+			p.Hang(t.ID, false)
+			p.FailAll(t.ID, false)
+			p.Slow(t.ID, 1)
+			p.Reject(t.ID, false)
+			if t.Draining {
+				p.Kill(t.ID, now)
+				continue
+			}
+			present[t.Address] = true
+		}
+		for rack := range 3 {
+			for i := range 4 {
+				d.incarnations++
+				if t := d.target(rack, i, 1+d.incarnations); !present[t.Address] {
+					p.Add(t, 1, now)
+				}
+			}
+		}
+	})
+}
+
+func (d *deployment) healAll() {
+	d.healHosts()
+	d.healTargets()
+	d.setStoreLinks(rows.Trouble{})
+	d.setTargetLinks(pool.Fault{})
+}
--- a/internal/proof/deployment/store_test.go
+++ b/internal/proof/deployment/store_test.go
@@ -11,33 +11,33 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-func (r *rig) allLinks(t rows.Trouble) {
-	for _, h := range r.hosts {
-		if !h.dead {
-			h.link.Set(t)
+func (d *deployment) setStoreLinks(t rows.Trouble) {
+	for _, h := range d.hosts {
+		if !h.down {
+			h.storeLink.Set(t)
 		}
 	}
 }
 
-// The store is away for all hosts. Nobody can take over, so the leader goes on:
-// what runs keeps its leases, ends are acknowledged once the store is back, and
-// no run is lost.
+// The store is unavailable to all hosts. No host can take over, so the leader continues:
+// running tasks keep their leases, ends are acknowledged once the store is available
+// again, and no run is lost.
 func TestStoreDown(t *testing.T) {
 	for name, trouble := range map[string]rows.Trouble{"silent": {Silent: true}, "refused": {Refuse: true}} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 11, 4, 2, func(r *rig) {
-				is := is.New(r.t)
+			simulate(t, 11, 4, 2, func(d *deployment) {
+				is := is.New(d.t)
 				time.Sleep(2 * time.Second)
-				s := r.submit(r.job(2, graph.Step{Count: 30, Needs: needs(2), Estimate: 8 * time.Second}), works(8*time.Second))
+				s := d.submit(d.singleStepJob(2, graph.Step{Count: 30, Needs: needs(2), Estimate: 8 * time.Second}), succeedsAfter(8*time.Second))
 				time.Sleep(time.Second)
-				old, before := r.leader(), starts(r)
-				r.allLinks(trouble)
+				old, before := d.leader(), startCount(d)
+				d.setStoreLinks(trouble)
 				time.Sleep(8 * time.Second)
-				is.Equal(r.leader(), old) // nobody could take over
-				r.allLinks(rows.Trouble{})
-				r.settle(30 * time.Second)
+				is.Equal(d.leader(), old) // no host could take over
+				d.setStoreLinks(rows.Trouble{})
+				d.awaitEnds(30 * time.Second)
 				is.True(before <= 30)
-				is.Equal(starts(r), 30) // nothing was started twice
+				is.Equal(startCount(d), 30) // nothing was started twice
 				_, _, state := s.get()
 				is.Equal(state, progress.Completed)
 			})
@@ -45,64 +45,64 @@
 	}
 }
 
-// The store performs writes and loses their answers, or performs them seconds
-// later. Each outcome is settled by reading back: no job is refused that was
-// stored, no task is run twice, none is forgotten.
+// The store commits writes and loses their answers, or commits them seconds later, or
+// answers slowly. Hosts read back each unknown outcome: no stored job is refused, and
+// no task is run twice or lost.
 func TestStoreLosesAnswers(t *testing.T) {
 	for name, trouble := range map[string]rows.Trouble{
 		"lost": {Lose: 0.4}, "late": {Late: 0.3, LateBy: 3 * time.Second}, "slow": {Slow: 400 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 12, 4, 2, func(r *rig) {
+			simulate(t, 12, 4, 2, func(d *deployment) {
 				time.Sleep(2 * time.Second)
-				r.allLinks(trouble)
+				d.setStoreLinks(trouble)
 				for range 4 {
-					load(r)
+					submitMix(d)
 					time.Sleep(time.Second)
 				}
-				r.allLinks(rows.Trouble{})
-				r.settle(60 * time.Second)
+				d.setStoreLinks(rows.Trouble{})
+				d.awaitEnds(60 * time.Second)
 			})
 		})
 	}
 }
 
-// The store forgets its history while messages to the leader are lost: the
-// leader reads all jobs anew.
-func TestHistoryForgotten(t *testing.T) {
-	play(t, 13, 3, 2, func(r *rig) {
+// The store compacts its change feed while the leader's peers cannot reach it: the
+// leader reads all jobs again.
+func TestHistoryCompacted(t *testing.T) {
+	simulate(t, 13, 3, 2, func(d *deployment) {
 		time.Sleep(2 * time.Second)
-		lead := r.leader()
-		for _, h := range r.hosts {
+		lead := d.leader()
+		for _, h := range d.hosts {
 			if h != lead {
-				r.wires.set(h.address, lead.address, true)
+				d.network.setDisconnected(h.address, lead.address, true)
 			}
 		}
-		load(r)
+		submitMix(d)
 		time.Sleep(50 * time.Millisecond)
-		r.table.Forget()
+		d.table.Forget()
 		time.Sleep(3 * time.Second)
-		for _, h := range r.hosts {
-			r.wires.set(h.address, lead.address, false)
+		for _, h := range d.hosts {
+			d.network.setDisconnected(h.address, lead.address, false)
 		}
-		r.settle(40 * time.Second)
+		d.awaitEnds(40 * time.Second)
 	})
 }
 
-// Somebody else writes rows into the system's tables that cannot be read. They
-// are passed over, also by a new leader, and all jobs end.
-func TestOddRows(t *testing.T) {
-	play(t, 14, 3, 1, func(r *rig) {
+// Another writer puts malformed rows into the system's tables. The leader ignores them,
+// as does the next one, and all jobs end.
+func TestMalformedRows(t *testing.T) {
+	simulate(t, 14, 3, 1, func(d *deployment) {
 		time.Sleep(2 * time.Second)
-		load(r)
+		submitMix(d)
 		for i, v := range []string{"", "{", `{"id":7}`, `{"id":"zz","steps":[]}`, `[]`} {
 			name := string(rune('a' + i))
-			r.table.Put(storeKey("jobs", name), []byte(v))
-			r.table.Put(storeKey("progress", name), []byte(v))
-			r.table.Put(storeKey("jobs", name+".cancel"), []byte(v))
+			d.table.Put(storeKey("jobs", name), []byte(v))
+			d.table.Put(storeKey("progress", name), []byte(v))
+			d.table.Put(storeKey("jobs", name+".cancel"), []byte(v))
 		}
 		time.Sleep(2 * time.Second)
-		r.kill(r.leader())
-		r.settle(60 * time.Second)
+		d.kill(d.leader())
+		d.awaitEnds(60 * time.Second)
 	})
 }
--- a/internal/proof/deployment/target_test.go
+++ b/internal/proof/deployment/target_test.go
@@ -16,125 +16,124 @@
 	return store.Key{Table: table, Partition: "1", Name: name}
 }
 
-func (r *rig) allLines(f pool.Fault) {
-	for _, h := range r.hosts {
-		if !h.dead {
-			h.line.Set(f)
+func (d *deployment) setTargetLinks(f pool.Fault) {
+	for _, h := range d.hosts {
+		if !h.down {
+			h.targetLink.Set(f)
 		}
 	}
 }
 
-// Orders are carried out and their answers lost, or they are carried out seconds
-// later, after newer ones. A run whose start was not answered keeps its room
-// until a stop was answered, so no target gets more than it can hold, and its
-// task is started nowhere else meanwhile.
+// Orders are executed and their answers lost, or they are executed seconds later, after
+// newer ones. A run whose start was not answered keeps its capacity until a stop is
+// answered, so no target is overcommitted, and its task is started nowhere else meanwhile.
 func TestOrdersLostOrLate(t *testing.T) {
 	for name, fault := range map[string]pool.Fault{
 		"lost": {Lose: 0.1}, "late": {Late: 0.1, LateBy: 4 * time.Second}, "both": {Lose: 0.1, Late: 0.1, LateBy: 7 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 21, 3, 2, func(r *rig) {
+			simulate(t, 21, 3, 2, func(d *deployment) {
 				time.Sleep(2 * time.Second)
-				r.allLines(fault)
+				d.setTargetLinks(fault)
 				for range 5 {
-					load(r)
+					submitMix(d)
 					time.Sleep(time.Second)
 				}
-				r.allLines(pool.Fault{})
-				r.settle(60 * time.Second)
+				d.setTargetLinks(pool.Fault{})
+				d.awaitEnds(60 * time.Second)
 			})
 		})
 	}
 }
 
-// Targets are cut off from the leader while their tasks run on. The tasks are
-// started elsewhere only when their leases have lapsed there.
-func TestTargetsCutOff(t *testing.T) {
-	play(t, 22, 3, 2, func(r *rig) {
+// The leader cannot reach some targets, whose tasks continue. The tasks are started
+// elsewhere only after their leases have lapsed.
+func TestTargetsUnreachable(t *testing.T) {
+	simulate(t, 22, 3, 2, func(d *deployment) {
 		time.Sleep(2 * time.Second)
-		r.submit(r.job(2, graph.Step{Count: 40, Needs: needs(1), Estimate: 7 * time.Second}), works(7*time.Second))
-		r.submit(r.job(1, graph.Step{Count: 4, Needs: needs(4), Estimate: 7 * time.Second, Gang: true}), works(7*time.Second))
+		d.submit(d.singleStepJob(2, graph.Step{Count: 40, Needs: needs(1), Estimate: 7 * time.Second}), succeedsAfter(7*time.Second))
+		d.submit(d.singleStepJob(1, graph.Step{Count: 4, Needs: needs(4), Estimate: 7 * time.Second, Gang: true}), succeedsAfter(7*time.Second))
 		time.Sleep(time.Second)
 		cut := map[string]bool{}
-		r.shared.Do(func(p *pool.Pool, _ time.Time) {
+		d.pool.Do(func(p *pool.Pool, _ time.Time) {
 			for i, t := range p.Roster() {
 				cut[t.ID] = i%3 == 0
 			}
 		})
-		r.allLines(pool.Fault{Cut: cut})
+		d.setTargetLinks(pool.Fault{Cut: cut})
 		time.Sleep(9 * time.Second)
-		r.allLines(pool.Fault{})
-		r.settle(60 * time.Second)
+		d.setTargetLinks(pool.Fault{})
+		d.awaitEnds(60 * time.Second)
 	})
 }
 
-// Targets crash, and new incarnations start at their addresses. An order for the
-// old one is refused by the new, which proves that the old one's runs are over.
-func TestTargetsReborn(t *testing.T) {
-	play(t, 23, 3, 2, func(r *rig) {
-		is := is.New(r.t)
+// Targets crash, and new incarnations start at their addresses. The new one refuses an
+// order for the old one, which proves that the old one's runs have ended.
+func TestTargetsRestarted(t *testing.T) {
+	simulate(t, 23, 3, 2, func(d *deployment) {
+		is := is.New(d.t)
 		time.Sleep(2 * time.Second)
-		load(r)
+		submitMix(d)
 		time.Sleep(1500 * time.Millisecond)
-		r.shared.Do(func(p *pool.Pool, now time.Time) {
+		d.pool.Do(func(p *pool.Pool, now time.Time) {
 			for i := range 3 {
-				p.Add(r.target(0, i, 2), 1, now)
+				p.Add(d.target(0, i, 2), 1, now)
 			}
 		})
-		r.settle(40 * time.Second)
-		for _, s := range r.jobs {
+		d.awaitEnds(40 * time.Second)
+		for _, s := range d.submissions {
 			_, _, state := s.get()
 			is.Equal(state, progress.Completed)
 		}
 	})
 }
 
-// A target says that it leaves: it gets no new work, and what runs there ends.
+// A target reports that it drains: it gets no new work, and its running tasks end.
 func TestTargetDrains(t *testing.T) {
-	play(t, 24, 3, 1, func(r *rig) {
-		is := is.New(r.t)
+	simulate(t, 24, 3, 1, func(d *deployment) {
+		is := is.New(d.t)
 		time.Sleep(2 * time.Second)
-		load(r)
+		submitMix(d)
 		var id string
-		r.shared.Do(func(p *pool.Pool, _ time.Time) {
+		d.pool.Do(func(p *pool.Pool, _ time.Time) {
 			id = p.Roster()[0].ID
 			p.Drain(id)
 		})
-		time.Sleep(2500 * time.Millisecond) // it may get work for as long
+		time.Sleep(2500 * time.Millisecond) // until then it may still get work
 		before := 0
-		r.shared.Do(func(p *pool.Pool, _ time.Time) { before = p.StartsOn(id) })
-		load(r)
-		r.settle(60 * time.Second)
-		r.shared.Do(func(p *pool.Pool, _ time.Time) { is.Equal(p.StartsOn(id), before) })
+		d.pool.Do(func(p *pool.Pool, _ time.Time) { before = p.StartsOn(id) })
+		submitMix(d)
+		d.awaitEnds(60 * time.Second)
+		d.pool.Do(func(p *pool.Pool, _ time.Time) { is.Equal(p.StartsOn(id), before) })
 	})
 }
 
-// Jobs are cancelled while they wait, start and run, and while the leader is
-// killed. Nothing of them runs on for long after that was acknowledged.
+// Jobs are cancelled while they are pending, starting and running, and while the leader
+// is killed. Six seconds later no task of a job whose cancellation was acknowledged runs.
 func TestCancel(t *testing.T) {
-	play(t, 25, 4, 1, func(r *rig) {
-		is := is.New(r.t)
+	simulate(t, 25, 4, 1, func(d *deployment) {
+		is := is.New(d.t)
 		time.Sleep(2 * time.Second)
 		for i := range 8 {
-			load(r)
+			submitMix(d)
 			time.Sleep(time.Duration(i*20) * time.Millisecond)
-			for _, s := range r.jobs[len(r.jobs)-4:] {
+			for _, s := range d.submissions[len(d.submissions)-4:] {
 				if accepted, _, _ := s.get(); accepted {
-					r.cancel(s)
+					d.cancel(s)
 				}
 			}
 			if i == 4 {
-				r.kill(r.leader())
+				d.kill(d.leader())
 			}
 		}
 		time.Sleep(6 * time.Second)
-		r.shared.Do(func(p *pool.Pool, _ time.Time) {
-			for _, s := range r.jobs {
+		d.pool.Do(func(p *pool.Pool, _ time.Time) {
+			for _, s := range d.submissions {
 				if _, cancelled, _ := s.get(); cancelled {
 					is.Equal(p.BusyOf(s.job.ID), 0)
 				}
 			}
 		})
-		r.settle(60 * time.Second)
+		d.awaitEnds(60 * time.Second)
 	})
 }
