--- a/internal/proof/soak/deployment_test.go
+++ b/internal/proof/soak/deployment_test.go
@@ -38,24 +38,24 @@
 [job refill.change%d]
 `
 
-// deployment is hosts over a stand-in platform.
+// deployment runs hosts over a stand-in platform.
 type deployment struct {
-	t       *testing.T
-	site    *standin.Site
-	hosts   []*host
-	mu      sync.Mutex
-	targets []*proxy
-	faults  []string
-	version int64 // of the configuration that was accepted last
-	changes int
+	t          *testing.T
+	site       *standin.Site
+	hosts      []*host
+	mu         sync.Mutex
+	targets    []*proxy
+	violations []string
+	version    int64 // of the last accepted configuration
+	changes    int
 }
 
-// ownIP returns an IP of loopback that other runs do not use.
-func ownIP(n int) string {
+// loopbackIP returns a loopback address that concurrent runs do not use.
+func loopbackIP(n int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>8&63, os.Getpid()&255, n)
 }
 
-// Numbers of IPs: the platform has one, and each host.
+// Numbers for loopbackIP: one of the platform, and the first of the hosts.
 const (
 	platformIP = 2
 	hostIP     = 10
@@ -63,8 +63,8 @@
 
 func newDeployment(ctx context.Context, t *testing.T, dir string) *deployment {
 	d := &deployment{t: t}
-	ip := ownIP(platformIP)
-	size := standin.Size{Racks: 3, PerRack: 3, Zones: zones, Through: func(address string) string { return d.through(ip, address) }}
+	ip := loopbackIP(platformIP)
+	size := standin.Size{Racks: 3, PerRack: 3, Zones: zones, Through: func(address string) string { return d.proxyFor(ip, address) }}
 	var err error
 	if d.site, err = standin.Open(ctx, ip+":0", "refill", size); err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 	d.site.LearnFromRows()
 	hash := credential.NewKey(operatorKey).Hash()
 	for i := range hostCount {
-		h, err := newHost(dir, ownIP(hostIP+i), zones[i%len(zones)], d.site.Address(), hash, i)
+		h, err := newHost(dir, loopbackIP(hostIP+i), zones[i%len(zones)], d.site.Address(), hash, i)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -82,8 +82,8 @@
 	return d
 }
 
-// through puts a proxy before a worker, once.
-func (d *deployment) through(ip, address string) string {
+// proxyFor returns the address of the proxy for a target, which it opens at the first call.
+func (d *deployment) proxyFor(ip, address string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, p := range d.targets {
@@ -100,15 +100,16 @@
 	return p.address()
 }
 
-func (d *deployment) fault(format string, args ...any) {
+func (d *deployment) recordViolation(format string, args ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.faults = append(d.faults, fmt.Sprintf(format, args...))
+	d.violations = append(d.violations, fmt.Sprintf(format, args...))
 }
 
-// change makes the next configuration current, trying until it is known to be. As
-// an operator does who lost a race, it starts again from the version that won.
-func (d *deployment) change(until time.Time) {
+// changeConfig applies the next configuration and retries until it is known to be
+// accepted. If another change was accepted first, it retries from that version, as an
+// operator does.
+func (d *deployment) changeConfig(until time.Time) {
 	d.mu.Lock()
 	d.changes++
 	n, base := d.changes, d.version
@@ -116,7 +117,7 @@
 	hash := func(key string) string { return credential.NewKey(key).Hash() }
 	text := fmt.Sprintf(configuration, hash(accountKey), hash(operatorKey), n)
 	for i := 0; time.Now().Before(until); i++ {
-		ctx, cancel := context.WithTimeout(context.Background(), tryTime)
+		ctx, cancel := context.WithTimeout(context.Background(), tryTimeout)
 		v, err := client.New([]string{d.hosts[i%hostCount].caller}, operatorKey, nil).Apply(ctx, base, fmt.Sprint("change", n), text)
 		cancel()
 		if err == nil {
@@ -125,33 +126,33 @@
 			d.mu.Unlock()
 			return
 		}
-		var told *client.Error
-		if errors.As(err, &told) && told.Status == http.StatusConflict {
-			base = told.Current
+		var answer *client.Error
+		if errors.As(err, &answer) && answer.Status == http.StatusConflict {
+			base = answer.Current
 			continue
 		}
-		time.Sleep(between)
+		time.Sleep(pause)
 	}
-	d.fault("change %d of the configuration was not accepted", n)
+	d.recordViolation("change %d of the configuration was not accepted", n)
 }
 
-// inForce wants the host to have the newest configuration soon.
-func (d *deployment) inForce(h *host) error {
+// awaitConfig waits until the host has the newest accepted configuration.
+func (d *deployment) awaitConfig(h *host) error {
 	err := errors.New("not asked")
-	for until := time.Now().Add(settleTime); time.Now().Before(until); time.Sleep(between) {
-		ctx, cancel := context.WithTimeout(context.Background(), tryTime)
-		v, asked := client.New([]string{h.caller}, operatorKey, nil).Configuration(ctx)
+	for until := time.Now().Add(settleTimeout); time.Now().Before(until); time.Sleep(pause) {
+		ctx, cancel := context.WithTimeout(context.Background(), tryTimeout)
+		v, askErr := client.New([]string{h.caller}, operatorKey, nil).Configuration(ctx)
 		cancel()
-		if asked == nil && v.Version >= d.version {
+		if askErr == nil && v.Version >= d.version {
 			return nil
 		}
-		err = errors.Join(fmt.Errorf("version %d, accepted was %d", v.Version, d.version), asked)
+		err = errors.Join(fmt.Errorf("version %d in force, accepted was %d", v.Version, d.version), askErr)
 	}
 	return err
 }
 
-// end ends the hosts that are left, as planned, and everything else.
-func (d *deployment) end() {
+// close performs a planned stop of the running hosts and closes everything else.
+func (d *deployment) close() {
 	var all sync.WaitGroup
 	for _, h := range d.hosts {
 		all.Go(func() {
--- a/internal/proof/soak/host_test.go
+++ b/internal/proof/soak/host_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// asHost is the variable that makes the test's program run as guavaglade itself.
-const asHost = "SOAK_AS_HOST"
+// asHostVariable is the environment variable that makes the test binary run as guavaglade.
+const asHostVariable = "SOAK_AS_HOST"
 
-// stopTime is how long a planned stop may take: unreadyTime and stopGrace of the
-// settings, and as long again for a busy machine.
-const stopTime = 12 * time.Second
+// stopTimeout bounds a planned stop: unreadyTime and stopGrace of the settings, and as
+// long again for a busy machine.
+const stopTimeout = 12 * time.Second
 
 const hostSettings = `[host]
 zone = %s
@@ -34,31 +34,31 @@
 maxWait = 10s
 `
 
-// host is one host, which is a process of its own as often as it is started.
+// host is one host. Each start runs it as a new process.
 type host struct {
-	name     string
-	caller   string // IP:port
-	store    *proxy
-	settings string // path
-	log      *os.File
-	mu       sync.Mutex
-	process  *exec.Cmd
-	over     chan struct{} // closed when the process has ended
-	wanted   bool          // an end of the process was asked for
-	faults   []string
+	name         string
+	caller       string // IP:port
+	store        *proxy
+	settings     string // path
+	log          *os.File
+	mu           sync.Mutex
+	process      *exec.Cmd
+	done         chan struct{} // closed when the process has exited
+	endRequested bool          // the process was signalled to exit
+	violations   []string
 }
 
-// newHost writes a host's settings into the directory.
+// newHost writes the settings of a host into the directory.
 func newHost(dir, ip, zone, storeAddress, keyHash string, number int) (*host, error) {
-	caller, peers := freePorts(ip)
-	platform, _, _ := net.SplitHostPort(storeAddress) // the proxy takes no port of the host
+	caller, peer := freePorts(ip)
+	platform, _, _ := net.SplitHostPort(storeAddress) // on the host's IP the proxy could take one of its ports
 	p, err := newProxy(platform, storeAddress)
 	if err != nil {
 		return nil, err
 	}
 	h := &host{name: fmt.Sprintf("host%d", number), store: p, caller: caller}
 	h.settings = filepath.Join(dir, h.name+".ini")
-	text := fmt.Sprintf(hostSettings, zone, h.caller, peers, p.address(), keyHash)
+	text := fmt.Sprintf(hostSettings, zone, h.caller, peer, p.address(), keyHash)
 	if err := os.WriteFile(h.settings, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
@@ -66,24 +66,24 @@
 	return h, err
 }
 
-// freePorts returns two free ports of an IP that nobody else uses: between this and
-// the start of the host no other program can take them.
-func freePorts(ip string) (one, other string) {
-	var found [2]net.Listener
-	for i := range found {
+// freePorts returns two free ports of an IP that no other program uses, so they are still
+// free when the host starts.
+func freePorts(ip string) (caller, peer string) {
+	var listeners [2]net.Listener
+	for i := range listeners {
 		l, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 		if err != nil {
 			panic(err) // loopback has free ports
 		}
-		found[i] = l
+		listeners[i] = l
 	}
-	for _, l := range found {
+	for _, l := range listeners {
 		_ = l.Close()
 	}
-	return found[0].Addr().String(), found[1].Addr().String()
+	return listeners[0].Addr().String(), listeners[1].Addr().String()
 }
 
-// start starts the process, unless it runs.
+// start starts the process unless it is running.
 func (h *host) start() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -91,61 +91,61 @@
 		return
 	}
 	c := exec.Command(os.Args[0], "serve", "--settings", h.settings)
-	c.Env = append(os.Environ(), asHost+"=1")
+	c.Env = append(os.Environ(), asHostVariable+"=1")
 	c.Stdout, c.Stderr = h.log, h.log
 	if err := c.Start(); err != nil {
-		h.faults = append(h.faults, fmt.Sprintf("%s: %v", h.name, err))
+		h.violations = append(h.violations, fmt.Sprintf("%s: start: %v", h.name, err))
 		return
 	}
-	over := make(chan struct{})
-	h.process, h.over, h.wanted = c, over, false
+	done := make(chan struct{})
+	h.process, h.done, h.endRequested = c, done, false
 	go func() {
 		err := c.Wait()
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if !h.wanted {
-			h.faults = append(h.faults, fmt.Sprintf("%s ended by itself: %v", h.name, err))
+		if !h.endRequested {
+			h.violations = append(h.violations, fmt.Sprintf("%s exited unexpectedly: %v", h.name, err))
 		}
 		var status *exec.ExitError
-		if errors.As(err, &status) && status.Exited() { // not by a signal
-			h.faults = append(h.faults, fmt.Sprintf("%s ended with %v", h.name, err))
+		if errors.As(err, &status) && status.Exited() { // not killed by a signal
+			h.violations = append(h.violations, fmt.Sprintf("%s failed: %v", h.name, err))
 		}
 		h.process = nil
-		close(over)
+		close(done)
 	}()
 }
 
-// signal sends a signal to the process, if it runs, and returns what is closed when
-// the process has ended.
+// signal sends a signal to the process if it is running. It returns a channel that is
+// closed when the process has exited.
 func (h *host) signal(s syscall.Signal) chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.process == nil {
-		over := make(chan struct{})
-		close(over)
-		return over
+		done := make(chan struct{})
+		close(done)
+		return done
 	}
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		h.wanted = true
+		h.endRequested = true
 	}
-	_ = h.process.Process.Signal(s) // it may have ended just now
-	return h.over
+	_ = h.process.Process.Signal(s) // it may have just exited
+	return h.done
 }
 
-// stop ends the process as planned and notes a fault if that takes too long.
+// stop performs a planned stop and records a violation if that exceeds stopTimeout.
 func (h *host) stop() {
-	over := h.signal(syscall.SIGTERM)
+	done := h.signal(syscall.SIGTERM)
 	select {
-	case <-over:
-	case <-time.After(stopTime):
+	case <-done:
+	case <-time.After(stopTimeout):
 		h.mu.Lock()
-		h.faults = append(h.faults, h.name+" did not end when it was told to stop")
+		h.violations = append(h.violations, h.name+" did not exit in time after SIGTERM")
 		h.mu.Unlock()
 		<-h.signal(syscall.SIGKILL)
 	}
 }
 
-// ready reports whether the balancer would send callers here.
+// ready reports whether a load balancer would send callers to the host.
 func (h *host) ready() bool {
 	c := http.Client{Timeout: 300 * time.Millisecond}
 	res, err := c.Get("http://" + h.caller + "/readyz")
--- a/internal/proof/soak/proxy_test.go
+++ b/internal/proof/soak/proxy_test.go
@@ -7,47 +7,47 @@
 	"time"
 )
 
-// mode is what a proxy does to the connections through it.
+// mode is what a proxy does to its connections.
 type mode int
 
-// Modes of a proxy. What is cut is held, as a network would send it again, and
-// passes when the cut is over; a connection made meanwhile hangs.
+// Modes of a proxy. Data that is held is forwarded when the mode ends, as a network
+// would retransmit it; connections made meanwhile hang.
 const (
-	passes mode = iota
-	delays
-	resets
-	cutsThere // nothing gets to the far end
-	cutsBack  // nothing comes back: what was asked for is done and not answered
-	silences  // neither
+	modePass mode = iota
+	modeDelay
+	modeReset
+	modeHoldRequests // nothing reaches the server
+	modeHoldAnswers  // nothing reaches the client: requests are executed and not answered
+	modeHoldAll      // in both directions
 )
 
-var modes = []mode{delays, resets, cutsThere, cutsBack, silences}
+var modes = []mode{modeDelay, modeReset, modeHoldRequests, modeHoldAnswers, modeHoldAll}
 
 func (m mode) String() string {
 	return [...]string{"passes", "delays", "resets", "cutsThere", "cutsBack", "silences"}[m]
 }
 
-// delay of each piece of data: fifty times a round trip on an ordinary day.
-const delay = 50 * time.Millisecond
+// chunkDelay is the delay of each chunk of data: fifty times a usual round trip.
+const chunkDelay = 50 * time.Millisecond
 
-// proxy passes connections on to an address.
+// proxy forwards connections to an address.
 type proxy struct {
 	listener net.Listener
 	to       string
 	mu       sync.Mutex
 	mode     mode
 	changed  *sync.Cond
-	open     map[net.Conn]bool
+	conns    map[net.Conn]bool
 	closed   bool
 }
 
-// newProxy opens a proxy at a free port of the IP.
+// newProxy opens a proxy on a free port of the IP.
 func newProxy(ip, to string) (*proxy, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, to: to, open: map[net.Conn]bool{}}
+	p := &proxy{listener: l, to: to, conns: map[net.Conn]bool{}}
 	p.changed = sync.NewCond(&p.mu)
 	go p.accept()
 	return p, nil
@@ -60,21 +60,21 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
-	if m == resets {
+	if m == modeReset {
 		p.resetAll()
 	}
 	p.changed.Broadcast()
 }
 
-// resetAll closes all connections at once, with what they hold.
+// resetAll resets all connections and discards the data that they hold.
 func (p *proxy) resetAll() {
-	for c := range p.open {
+	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // a reset in place of an orderly end
+			_ = tcp.SetLinger(0) // close with a reset instead of a FIN
 		}
 		_ = c.Close()
 	}
-	clear(p.open)
+	clear(p.conns)
 }
 
 func (p *proxy) close() {
@@ -88,79 +88,79 @@
 
 func (p *proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return // closed
 		}
-		go p.connect(near)
+		go p.connect(client)
 	}
 }
 
-func (p *proxy) connect(near net.Conn) {
-	if !p.keep(near) {
+func (p *proxy) connect(client net.Conn) {
+	if !p.track(client) {
 		return
 	}
-	far, err := net.Dial("tcp", p.to)
-	if err != nil || !p.keep(far) {
-		p.drop(near)
+	server, err := net.Dial("tcp", p.to)
+	if err != nil || !p.track(server) {
+		p.closeConns(client)
 		return
 	}
-	go p.pass(near, far, cutsThere)
-	p.pass(far, near, cutsBack)
+	go p.forward(client, server, modeHoldRequests)
+	p.forward(server, client, modeHoldAnswers)
 }
 
-// keep notes a connection; it refuses those that come while connections are reset.
-func (p *proxy) keep(c net.Conn) bool {
+// track records a connection. It closes and refuses it while connections are reset.
+func (p *proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.mode == resets {
+	if p.closed || p.mode == modeReset {
 		_ = c.Close()
 		return false
 	}
-	p.open[c] = true
+	p.conns[c] = true
 	return true
 }
 
-func (p *proxy) drop(cs ...net.Conn) {
+func (p *proxy) closeConns(cs ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range cs {
 		_ = c.Close()
-		delete(p.open, c)
+		delete(p.conns, c)
 	}
 }
 
-// pass copies one direction, which the mode given cuts.
-func (p *proxy) pass(from, to net.Conn, cut mode) {
-	defer p.drop(from, to)
-	piece := make([]byte, 32<<10)
+// forward copies one direction of a connection, which the mode held stops.
+func (p *proxy) forward(from, to net.Conn, held mode) {
+	defer p.closeConns(from, to)
+	chunk := make([]byte, 32<<10)
 	for {
-		n, err := from.Read(piece)
+		n, err := from.Read(chunk)
 		if n > 0 {
-			p.hold(cut)
-			if _, err := to.Write(piece[:n]); err != nil {
+			p.waitToSend(held)
+			if _, err := to.Write(chunk[:n]); err != nil {
 				return
 			}
 		}
 		if err != nil {
 			if err == io.EOF {
-				p.hold(cut)
+				p.waitToSend(held)
 			}
 			return
 		}
 	}
 }
 
-// hold waits as long as the mode keeps data of a direction back.
-func (p *proxy) hold(cut mode) {
+// waitToSend waits while the mode delays or holds the data of a direction.
+func (p *proxy) waitToSend(held mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.mode == delays {
+	if p.mode == modeDelay {
 		p.mu.Unlock()
-		time.Sleep(delay)
+		time.Sleep(chunkDelay)
 		p.mu.Lock()
 	}
-	for !p.closed && (p.mode == cut || p.mode == silences) {
+	for !p.closed && (p.mode == held || p.mode == modeHoldAll) {
 		p.changed.Wait()
 	}
 }
--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -22,273 +22,273 @@
 var (
 	firstSeed = flag.Uint64("soak.seed", 1, "first seed")
 	seeds     = flag.Int("soak.seeds", 2, "number of seeds")
-	keep      = flag.String("soak.keep", "", "directory for the logs of runs that fail")
+	logDir    = flag.String("soak.keep", "", "directory for the logs of runs that fail")
 )
 
-// TestMain runs the hosts of a soak, too: each is this program, started again.
+// TestMain also runs the hosts: each is a process of the test binary.
 func TestMain(m *testing.M) {
-	if os.Getenv(asHost) != "" {
+	if os.Getenv(asHostVariable) != "" {
 		os.Exit(command.Run(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
 
 const (
-	operatorKey = "soak-operator"
-	accountKey  = "soak-norte"
-	hostCount   = 5
-	callerCount = 5
-	trafficTime = 8 * time.Second
-	lastFault   = 6 * time.Second // the begin of the last fault
-	mostFault   = 4 * time.Second
-	settleTime  = 45 * time.Second // for what was accepted, after the last fault
+	operatorKey    = "soak-operator"
+	accountKey     = "soak-norte"
+	hostCount      = 5
+	callerCount    = 5
+	trafficTime    = 8 * time.Second
+	maxFaultStart  = 6 * time.Second // all faults start before
+	faultTimeRange = 4 * time.Second
+	settleTimeout  = 45 * time.Second // for accepted jobs and changes after the last fault
 )
 
-// act does one thing for a while. It returns when that is over.
-type act struct {
+// fault is one fault to inject, with its start and duration.
+type fault struct {
 	at, length time.Duration
-	what       string
+	kind       string
 	which      int
 	mode       mode
 }
 
-func (a act) String() string {
-	return fmt.Sprintf("%.1fs %s %d %v for %.1fs", a.at.Seconds(), a.what, a.which, a.mode, a.length.Seconds())
+func (f fault) String() string {
+	return fmt.Sprintf("%.1fs %s %d %v for %.1fs", f.at.Seconds(), f.kind, f.which, f.mode, f.length.Seconds())
 }
 
-var troubles = []string{"kill", "kill", "pause", "stop", "store", "store", "all stores", "target", "target", "hang", "lose target", "change", "forget"}
+var faultKinds = []string{"kill", "kill", "pause", "stop", "store", "store", "all stores", "target", "target", "hang", "lose target", "change", "forget"}
 
-func draw(rnd *rand.Rand, from []string) act {
-	return act{
-		at:     time.Duration(rnd.Int64N(int64(lastFault))),
-		length: 300*time.Millisecond + time.Duration(rnd.Int64N(int64(mostFault))),
-		what:   from[rnd.IntN(len(from))], which: rnd.IntN(1000), mode: modes[rnd.IntN(len(modes))],
+func drawFault(rnd *rand.Rand, kinds []string) fault {
+	return fault{
+		at:     time.Duration(rnd.Int64N(int64(maxFaultStart))),
+		length: 300*time.Millisecond + time.Duration(rnd.Int64N(int64(faultTimeRange))),
+		kind:   kinds[rnd.IntN(len(kinds))], which: rnd.IntN(1000), mode: modes[rnd.IntN(len(modes))],
 	}
 }
 
-func (d *deployment) do(a act) {
-	h := d.hosts[a.which%hostCount]
-	switch a.what {
+func (d *deployment) inject(f fault) {
+	h := d.hosts[f.which%hostCount]
+	switch f.kind {
 	case "kill":
 		<-h.signal(syscall.SIGKILL)
-		time.Sleep(a.length)
+		time.Sleep(f.length)
 		h.start()
 	case "pause":
 		h.signal(syscall.SIGSTOP)
-		time.Sleep(a.length)
+		time.Sleep(f.length)
 		h.signal(syscall.SIGCONT)
 	case "stop":
 		h.stop()
 		h.start()
 	case "store":
-		d.harm(a, h.store)
+		d.injectProxyFault(f, h.store)
 	case "all stores":
 		var all []*proxy
 		for _, h := range d.hosts {
 			all = append(all, h.store)
 		}
-		d.harm(a, all...)
+		d.injectProxyFault(f, all...)
 	case "target":
 		d.mu.Lock()
-		p := d.targets[a.which%len(d.targets)]
+		p := d.targets[f.which%len(d.targets)]
 		d.mu.Unlock()
-		d.harm(a, p)
+		d.injectProxyFault(f, p)
 	case "change":
-		d.change(time.Now().Add(settleTime))
+		d.changeConfig(time.Now().Add(settleTimeout))
 	case "forget":
 		d.site.Table.Forget()
 	default:
-		d.harmTarget(a)
+		d.injectTargetFault(f)
 	}
 }
 
-func (d *deployment) harm(a act, ps ...*proxy) {
+func (d *deployment) injectProxyFault(f fault, ps ...*proxy) {
 	for _, p := range ps {
-		p.set(a.mode)
+		p.set(f.mode)
 	}
-	time.Sleep(a.length)
+	time.Sleep(f.length)
 	for _, p := range ps {
-		p.set(passes)
+		p.set(modePass)
 	}
 }
 
-func (d *deployment) harmTarget(a act) {
+func (d *deployment) injectTargetFault(f fault) {
 	var id string
 	d.site.Shared.Do(func(p *pool.Pool, now time.Time) {
 		list := p.Roster()
-		id = list[a.which%len(list)].ID
-		if a.what == "hang" {
+		id = list[f.which%len(list)].ID
+		if f.kind == "hang" {
 			p.Hang(id, true)
 			return
 		}
-		if len(list) > 6 { // enough are left for each kind of job
+		if len(list) > 6 { // leaves enough for each kind of job
 			p.Kill(id, now)
 		}
 	})
-	time.Sleep(a.length)
+	time.Sleep(f.length)
 	d.site.Shared.Do(func(p *pool.Pool, _ time.Time) { p.Hang(id, false) })
 }
 
-// play plays a script and returns what was broken.
-func play(t *testing.T, seed uint64, script []act, calm bool) []string {
-	dir, err := os.MkdirTemp(*keep, fmt.Sprintf("soak-%d-", seed))
+// run executes a script and returns the violations.
+func run(t *testing.T, seed uint64, script []fault, plannedOnly bool) []string {
+	dir, err := os.MkdirTemp(*logDir, fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d := newDeployment(ctx, t, dir)
-	defer d.end()
-	d.change(time.Now().Add(settleTime))
+	defer d.close()
+	d.changeConfig(time.Now().Add(settleTimeout))
 	c := &callers{deployment: d}
 	c.traffic(ctx, seed, script)
-	faults := append(c.check(calm), d.check()...)
+	violations := append(c.check(plannedOnly), d.check()...)
 	t.Log(c.summary())
-	if len(faults) == 0 {
-		_ = os.RemoveAll(dir) // a directory that is left harms nobody
+	if len(violations) == 0 {
+		_ = os.RemoveAll(dir) // a directory that stays is harmless
 	} else {
 		t.Logf("logs: %s", dir)
 	}
-	return faults
+	return violations
 }
 
-// traffic runs the callers and the script, and heals everything.
-func (c *callers) traffic(ctx context.Context, seed uint64, script []act) {
+// traffic runs the callers and the script, and ends all faults.
+func (c *callers) traffic(ctx context.Context, seed uint64, script []fault) {
 	d := c.deployment
-	asking, stop := context.WithTimeout(ctx, trafficTime)
+	requestCtx, stop := context.WithTimeout(ctx, trafficTime)
 	defer stop()
 	var all sync.WaitGroup
-	go c.balance(ctx)
+	go c.trackReadiness(ctx)
 	for i := range callerCount {
-		all.Go(func() { c.run(asking, i, seed) })
+		all.Go(func() { c.run(requestCtx, i, seed) })
 	}
-	for _, a := range script {
+	for _, f := range script {
 		all.Go(func() {
-			time.Sleep(a.at)
-			d.do(a)
+			time.Sleep(f.at)
+			d.inject(f)
 		})
 	}
 	all.Wait()
 	for _, h := range d.hosts {
 		h.signal(syscall.SIGCONT)
-		h.store.set(passes)
+		h.store.set(modePass)
 		h.start()
 	}
 }
 
-// check holds what callers were told against what became of their jobs. On a calm
-// run, on which hosts only stop as planned, no connection may break.
-func (c *callers) check(calm bool) (faults []string) {
-	until := time.Now().Add(settleTime)
-	for _, s := range c.sent {
-		faults = append(faults, c.judge(s, until)...)
+// check compares the answers that callers got with what became of their jobs. If hosts
+// make planned stops only, no connection may have broken.
+func (c *callers) check(plannedOnly bool) (violations []string) {
+	until := time.Now().Add(settleTimeout)
+	for _, s := range c.submissions {
+		violations = append(violations, c.checkSubmission(s, until)...)
 	}
-	if calm {
-		faults = append(faults, c.cut...)
+	if plannedOnly {
+		violations = append(violations, c.brokenConns...)
 	}
-	return faults
+	return violations
 }
 
 func (c *callers) summary() string {
 	accepted, cancelled, starts := 0, 0, 0
-	for _, s := range c.sent {
+	for _, s := range c.submissions {
 		if s.accepted {
 			accepted++
 		}
-		if s.cancelled {
+		if s.cancelAcked {
 			cancelled++
 		}
 	}
 	c.deployment.site.Shared.Do(func(p *pool.Pool, _ time.Time) { starts = p.Starts() })
-	return fmt.Sprintf("%d requests, %d accepted, %d cancelled, %d connections cut, %d starts", len(c.sent), accepted, cancelled, len(c.cut), starts)
+	return fmt.Sprintf("%d requests, %d accepted, %d cancelled, %d connections broken, %d starts", len(c.submissions), accepted, cancelled, len(c.brokenConns), starts)
 }
 
-func (c *callers) judge(s *sent, until time.Time) (faults []string) {
+func (c *callers) checkSubmission(s *submission, until time.Time) (violations []string) {
 	starts := 0
 	c.deployment.site.Shared.Do(func(p *pool.Pool, _ time.Time) { starts = p.StartsOf(s.id) })
 	if s.kind == "bill" && starts > 1 {
-		faults = append(faults, fmt.Sprintf("%s may run once and was started %d times", s.id, starts))
+		violations = append(violations, fmt.Sprintf("%s must run at most once and was started %d times", s.id, starts))
 	}
 	if !s.accepted {
-		if !s.unknown && starts > 0 {
-			faults = append(faults, fmt.Sprintf("%s was told not run and was started", s.id))
+		if !s.outcomeUnknown && starts > 0 {
+			violations = append(violations, fmt.Sprintf("%s was answered as not run and was started", s.id))
 		}
-		return faults
+		return violations
 	}
-	state, err := c.final(s, until)
+	state, err := c.awaitFinal(s, until)
 	switch {
 	case err != nil:
-		return append(faults, fmt.Sprintf("%s (%s) has not ended: %v", s.id, s.kind, err))
-	case state == progress.Completed, state == progress.Cancelled && s.maybe, state == progress.Failed && s.kind == "bill":
-		return faults
+		return append(violations, fmt.Sprintf("%s (%s) has not ended: %v", s.id, s.kind, err))
+	case state == progress.Completed, state == progress.Cancelled && s.cancelSent, state == progress.Failed && s.kind == "bill":
+		return violations
 	}
-	return append(faults, fmt.Sprintf("%s (%s, cancelled %t) is %s", s.id, s.kind, s.cancelled, state))
+	return append(violations, fmt.Sprintf("%s (%s, cancelled %t) is %s", s.id, s.kind, s.cancelAcked, state))
 }
 
-// check returns what targets and operators saw broken.
+// check returns the violations that targets and operators observed.
 func (d *deployment) check() []string {
 	d.site.Shared.Do(func(p *pool.Pool, _ time.Time) {
 		for _, b := range p.Breaches() {
-			d.fault("%s", b)
+			d.recordViolation("%s", b)
 		}
 	})
 	for _, h := range d.hosts {
-		if err := d.inForce(h); err != nil {
-			d.fault("%s: %v", h.name, err)
+		if err := d.awaitConfig(h); err != nil {
+			d.recordViolation("%s: %v", h.name, err)
 		}
 		h.mu.Lock()
-		d.faults = append(d.faults, h.faults...)
+		d.violations = append(d.violations, h.violations...)
 		h.mu.Unlock()
 	}
-	return d.faults
+	return d.violations
 }
 
-func report(t *testing.T, seed uint64, script []act, faults []string) {
+func report(t *testing.T, seed uint64, script []fault, violations []string) {
 	t.Helper()
-	if len(faults) == 0 {
+	if len(violations) == 0 {
 		return
 	}
 	lines := make([]string, 0, len(script))
-	for _, a := range script {
-		lines = append(lines, a.String())
+	for _, f := range script {
+		lines = append(lines, f.String())
 	}
-	t.Errorf("seed %d\n%s\nscript:\n%s", seed, strings.Join(faults, "\n"), strings.Join(lines, "\n"))
+	t.Errorf("seed %d\n%s\nscript:\n%s", seed, strings.Join(violations, "\n"), strings.Join(lines, "\n"))
 }
 
-// found are seeds that once failed, with the cause.
-var found = map[uint64]string{
-	123: "two hosts were given the same port by this test",
-	242: "of two operators' changes with one base the loser was sent again and again with its old base",
+// regressionSeeds are seeds that have failed, with the cause.
+var regressionSeeds = map[uint64]string{
+	123: "this test gave two hosts the same port",
+	242: "of two changes with the same base, the refused one was retried repeatedly with its stale base",
 }
 
-// Faults of all kinds come in series and together. Whatever was accepted ends as it
-// must, nothing runs twice, what was told not run does not run, and the newest
-// configuration is in force on every host in the end.
+// Faults of all kinds occur one after the other and together. Accepted jobs end as they
+// must, nothing runs twice, jobs answered as not run do not run, and in the end the newest
+// configuration is in force on every host.
 func TestFaults(t *testing.T) {
-	list := slices.Sorted(maps.Keys(found))
+	list := slices.Sorted(maps.Keys(regressionSeeds))
 	for i := range *seeds {
 		list = append(list, *firstSeed+uint64(i))
 	}
 	for _, seed := range list {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rnd := rand.New(rand.NewPCG(seed, 0))
-			var script []act
+			var script []fault
 			for range 4 + rnd.IntN(6) {
-				script = append(script, draw(rnd, troubles))
+				script = append(script, drawFault(rnd, faultKinds))
 			}
-			report(t, seed, script, play(t, seed, script, false))
+			report(t, seed, script, run(t, seed, script, false))
 		})
 	}
 }
 
-// Hosts stop as planned, one after the other and together, while the configuration
-// changes. No request of a caller is cut.
+// Hosts make planned stops, one after the other and together, while the configuration
+// changes. No connection breaks under a caller's request.
 func TestPlannedStops(t *testing.T) {
 	seed := *firstSeed
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	var script []act
+	var script []fault
 	for range 6 {
-		script = append(script, draw(rnd, []string{"stop", "stop", "change"}))
+		script = append(script, drawFault(rnd, []string{"stop", "stop", "change"}))
 	}
-	report(t, seed, script, play(t, seed, script, true))
+	report(t, seed, script, run(t, seed, script, true))
 }
