--- a/internal/proof/session/doc.go
+++ b/internal/proof/session/doc.go
@@ -1,6 +1,5 @@
-// Package session proves what callers and operators are told, word for word: it
-// plays whole sessions against a site and holds each request and answer against
-// a golden file. Times, addresses and the like are replaced by fixed words. It
-// has test files only; go test ./internal/proof/session -update rewrites the
-// golden files.
+// Package session tests the exact answers that callers and operators get: it runs whole
+// sessions against a site and compares each request and answer with a golden file, in
+// which placeholders stand for times, addresses and other varying values. It has test
+// files only; go test ./internal/proof/session -update rewrites the golden files.
 package session
--- a/internal/proof/session/session_test.go
+++ b/internal/proof/session/session_test.go
@@ -26,7 +26,7 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-const patience = 30 * time.Second // a bound on every wait, not a verdict
+const waitTimeout = 30 * time.Second // bounds each wait; no latency is tested
 
 // Keys of the sessions' configuration.
 const (
@@ -72,14 +72,14 @@
 keyHash = %s
 `, credential.NewKey(norte).Hash(), credential.NewKey(sur).Hash(), credential.NewKey(operator).Hash())
 
-// session is one play against a site of one host in each of three zones, and
-// the text of what was said.
+// session runs requests against a site with one host in each of three zones and records
+// them and their answers.
 type session struct {
-	t       *testing.T
-	site    *site.Site
-	links   []*rows.Link // each host's way to the store
-	script  bytes.Buffer
-	secrets *strings.Replacer // of words that differ in each run
+	t            *testing.T
+	site         *site.Site
+	links        []*rows.Link // of each host to the store
+	script       bytes.Buffer
+	placeholders *strings.Replacer // for addresses, which differ between runs
 }
 
 func newSession(t *testing.T) *session {
@@ -89,7 +89,7 @@
 	s := &session{t: t}
 	table := rows.New(time.Millisecond)
 	shared := newTargets(ctx, table)
-	b, err := site.Start(func(host int, _ logr.Logger) scheduler.Ports {
+	st, err := site.Start(func(host int, _ logr.Logger) scheduler.Ports {
 		link := rows.NewLink(table, rand.New(rand.NewPCG(uint64(host), 1)))
 		s.links = append(s.links, link)
 		line := pool.NewLine(shared, 0, rand.New(rand.NewPCG(uint64(host), 2)))
@@ -98,18 +98,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.site = b
+	s.site = st
 	t.Cleanup(func() {
-		s.trouble(rows.Trouble{})
-		if err := b.Stop(); err != nil {
+		s.setStoreLinks(rows.Trouble{})
+		if err := st.Stop(); err != nil {
 			t.Error(err)
 		}
 	})
-	s.learn()
+	s.setPlaceholders()
 	return s
 }
 
-// newTargets returns four targets in each zone, which find their jobs in the table.
+// newTargets returns four targets in each zone, which read their jobs from the table.
 func newTargets(ctx context.Context, table *rows.Table) *pool.Shared {
 	p := pool.New(pool.DefaultBounds())
 	p.LearnBy(site.StoredJobs(table))
@@ -125,84 +125,84 @@
 	return pool.Share(ctx, p)
 }
 
-// trouble sets what ails all hosts' ways to the store.
-func (s *session) trouble(t rows.Trouble) {
+// setStoreLinks sets the faults of all hosts' links to the store.
+func (s *session) setStoreLinks(t rows.Trouble) {
 	for _, l := range s.links {
 		l.Set(t)
 	}
 }
 
-// learn notes the words that differ in each run.
-func (s *session) learn() {
-	var words []string
+// setPlaceholders sets the placeholders for the addresses of the hosts.
+func (s *session) setPlaceholders() {
+	var pairs []string
 	for i, h := range s.site.Hosts() {
-		words = append(words, h.Peer(), fmt.Sprintf("PEER%d", i), h.Caller(), fmt.Sprintf("CALLER%d", i))
+		pairs = append(pairs, h.Peer(), fmt.Sprintf("PEER%d", i), h.Caller(), fmt.Sprintf("CALLER%d", i))
 	}
-	s.secrets = strings.NewReplacer(words...)
+	s.placeholders = strings.NewReplacer(pairs...)
 }
 
-// What differs in each run, and what stands for it.
-var replaced = []struct {
-	what *regexp.Regexp
-	by   string
+// substitutions replace what differs between runs.
+var substitutions = []struct {
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d+)?(Z|[+-]\d\d:\d\d)`), "TIME"},
 	{regexp.MustCompile(`\b(accepted|ended|deadline)=\d+`), "${1}=MILLIS"},
 	{regexp.MustCompile(`\b(waitedMS)=\d+`), "${1}=MILLIS"},
-	{regexp.MustCompile(`\b[a-z]+-w\d\d\b`), "WORKER"}, // which of several free ones is not the session's matter
+	{regexp.MustCompile(`\b[a-z]+-w\d\d\b`), "WORKER"}, // any free one may be chosen
 	{regexp.MustCompile(` +(\d+(\.\d+)?(ms|s) +){3}`), "  P50  P90  P99  "},
 	{regexp.MustCompile(`("leads"): (true|false)`), "${1}: true for one host"},
-	{regexp.MustCompile(`"(leader|host)": "PEER\d"`), `"${1}": "PEER"`}, // any may lead; ports decide the order
+	{regexp.MustCompile(`"(leader|host)": "PEER\d"`), `"${1}": "PEER"`}, // any may lead; the order follows the ports
 	{regexp.MustCompile(`("power"): [\d.]+`), "${1}: CORES"},
 	{regexp.MustCompile(`("term"): \d+`), "${1}: TERM"},
 	// A job that is not waited for may be placed before its answer is written.
 	{regexp.MustCompile(`"state": "(queued|running)"`), "\"state\": \"queued\" or \"running\""},
 }
 
-// say writes into the script, with what differs in each run replaced.
-func (s *session) say(text string) {
-	text = s.secrets.Replace(text)
-	for _, r := range replaced {
-		text = r.what.ReplaceAllString(text, r.by)
+// write writes text into the script and replaces what differs between runs.
+func (s *session) write(text string) {
+	text = s.placeholders.Replace(text)
+	for _, r := range substitutions {
+		text = r.pattern.ReplaceAllString(text, r.replacement)
 	}
 	s.script.WriteString(text)
 }
 
-// note writes a heading: what the user wants, and what is to be expected.
-func (s *session) note(text string) { fmt.Fprintf(&s.script, "## %s\n\n", text) }
+// heading writes a heading: what the user does and what is expected.
+func (s *session) heading(text string) { fmt.Fprintf(&s.script, "## %s\n\n", text) }
 
-// call is one request of a session.
-type call struct {
+// apiCall is one HTTP request of a session.
+type apiCall struct {
 	host         int
 	key          string // empty for none
 	method, path string
 	body         string
 }
 
-// do makes a request, writes it and its answer into the script, and returns the
-// answer's body.
-func (s *session) do(c call) []byte {
+// record sends a request, writes it and its answer into the script and returns the body
+// of the answer.
+func (s *session) record(c apiCall) []byte {
 	s.t.Helper()
 	status, header, body := s.send(c)
-	s.show(c, status, header, body)
+	s.recordCall(c, status, header, body)
 	return body
 }
 
-// show writes a request and its answer into the script.
-func (s *session) show(c call, status int, header http.Header, body []byte) {
-	c.body = s.secrets.Replace(c.body)
-	s.say(fmt.Sprintf("> %s %s as %s at CALLER%d\n", c.method, c.path, orNobody(c.key), c.host))
+// recordCall writes a request and its answer into the script.
+func (s *session) recordCall(c apiCall, status int, header http.Header, body []byte) {
+	c.body = s.placeholders.Replace(c.body)
+	s.write(fmt.Sprintf("> %s %s as %s at CALLER%d\n", c.method, c.path, callerName(c.key), c.host))
 	if c.body != "" {
-		s.say(indent("> ", shorten(c.body)))
+		s.write(indent("> ", shorten(c.body)))
 	}
-	s.say(fmt.Sprintf("< %d %s\n", status, header.Get("Content-Type")))
+	s.write(fmt.Sprintf("< %d %s\n", status, header.Get("Content-Type")))
 	if at := header.Get("Retry-After"); at != "" {
-		s.say("< Retry-After: SECONDS\n")
+		s.write("< Retry-After: SECONDS\n")
 	}
-	s.say(indent("< ", pretty(body)) + "\n")
+	s.write(indent("< ", pretty(body)) + "\n")
 }
 
-func (s *session) send(c call) (int, http.Header, []byte) {
+func (s *session) send(c apiCall) (int, http.Header, []byte) {
 	s.t.Helper()
 	req, err := http.NewRequest(c.method, "http://"+s.site.Hosts()[c.host].Caller()+c.path, strings.NewReader(c.body))
 	if err != nil {
@@ -223,63 +223,64 @@
 	return res.StatusCode, res.Header, body
 }
 
-// until asks, outside of the script, until the answer's body holds the words.
-func (s *session) until(c call, words ...string) {
+// awaitAnswer repeats a request, unrecorded, until the body of its answer contains all
+// fragments.
+func (s *session) awaitAnswer(c apiCall, fragments ...string) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(10 * time.Millisecond) {
 		_, _, body := s.send(c)
 		all := true
-		for _, w := range words {
+		for _, w := range fragments {
 			all = all && bytes.Contains(body, []byte(w))
 		}
 		if all {
 			return
 		}
 		if time.Now().After(end) {
-			s.t.Fatalf("waited in vain for %q of %s: %s", words, c.path, body)
+			s.t.Fatalf("no answer with %q from %s in time; last answer: %s", fragments, c.path, body)
 		}
 	}
 }
 
-// ready puts the configuration in force on all hosts, outside of the script.
-func (s *session) ready() {
+// applyFirstConfig applies the configuration, unrecorded, and waits until it is in force.
+func (s *session) applyFirstConfig() {
 	s.t.Helper()
-	s.send(call{0, operator, "PUT", "/v1/configuration", change(0, "first", configuration)})
-	s.settle(1)
+	s.send(apiCall{0, operator, "PUT", "/v1/configuration", changeRequest(0, "first", configuration)})
+	s.awaitConfig(1)
 }
 
-// settle waits until a version is in force everywhere and the leader holds all
+// awaitConfig waits until a version is in force on all hosts and the leader reaches all
 // targets.
-func (s *session) settle(version int64) {
+func (s *session) awaitConfig(version int64) {
 	s.t.Helper()
 	for i := range s.site.Hosts() {
-		s.until(call{i, operator, "GET", "/v1/configuration", ""}, fmt.Sprintf(`"version":%d,`, version))
+		s.awaitAnswer(apiCall{i, operator, "GET", "/v1/configuration", ""}, fmt.Sprintf(`"version":%d,`, version))
 		s.awaitTargets(i)
 	}
 }
 
-// awaitTargets waits until a host's leader holds all targets.
+// awaitTargets waits until a host's view of the fleet has all targets ready.
 func (s *session) awaitTargets(host int) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		_, _, body := s.send(call{host, operator, "GET", "/v1/fleet", ""})
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(10 * time.Millisecond) {
+		_, _, body := s.send(apiCall{host, operator, "GET", "/v1/fleet", ""})
 		if bytes.Count(body, []byte(`"ready"`)) == 4*len(site.Zones) {
 			return
 		}
 		if time.Now().After(end) {
-			s.t.Fatalf("waited in vain for all targets: %s", body)
+			s.t.Fatalf("not all targets ready in time; last answer: %s", body)
 		}
 	}
 }
 
-// end holds the script against its golden file.
-func (s *session) end(name string) {
+// compareGolden compares the script with its golden file.
+func (s *session) compareGolden(name string) {
 	s.t.Helper()
 	goldie.New(s.t, goldie.WithFixtureDir("testdata"), goldie.WithNameSuffix(".txt"), goldie.WithDiffEngine(goldie.ClassicDiff)).
 		Assert(s.t, name, s.script.Bytes())
 }
 
-func change(base int64, id, text string) string {
+func changeRequest(base int64, id, text string) string {
 	b, err := json.Marshal(struct {
 		Base   int64  `json:"base"`
 		Change string `json:"change"`
@@ -291,20 +292,20 @@
 	return string(b)
 }
 
-func orNobody(key string) string {
+func callerName(key string) string {
 	if key == "" {
 		return "nobody"
 	}
 	return key
 }
 
-// shorten keeps long bodies out of the script.
+// shorten truncates long bodies.
 func shorten(body string) string {
-	const most = 200
-	if len(body) <= most {
+	const limit = 200
+	if len(body) <= limit {
 		return body
 	}
-	return fmt.Sprintf("%s... (%d bytes)", body[:most], len(body))
+	return fmt.Sprintf("%s... (%d bytes)", body[:limit], len(body))
 }
 
 func pretty(body []byte) string {
