--- a/internal/proof/deployment/deployment_test.go
+++ b/internal/proof/deployment/deployment_test.go
@@ -123,7 +123,9 @@
 	log := d.logger(name)
 	h.storeLink = rows.NewLink(d.table, rand.New(rand.NewPCG(d.rnd.Uint64(), 2)))
 	h.targetLink = pool.NewLine(d.pool, time.Millisecond, rand.New(rand.NewPCG(d.rnd.Uint64(), 3)))
-	monitor := store.NewMonitor(h.storeLink, leader.RowKey, func(up bool, err error) { log.Info("store availability changed", "serves", up, "error", fmt.Sprint(err)) })
+	monitor := store.NewMonitor(h.storeLink, leader.RowKey, func(up bool, err error) {
+		log.Info("store availability changed", "serves", up, "error", fmt.Sprint(err))
+	})
 	disp := dispatcher.New(monitor, h.targetLink, d.pool, dispatch.DefaultBounds(), log, dispatcher.WithClock(time.Now))
 	endpoint := rpc.New(h.address, disp, catalog.NewKeeper(nil), monitor.Up, rpc.WithCores(1))
 	h.peerTransport = peer.New(endpoint.Handle, nil, d.network.dial(h.address), logr.Discard())
