--- a/internal/proof/soak/deployment_test.go
+++ b/internal/proof/soak/deployment_test.go
@@ -151,8 +151,8 @@
 	return err
 }
 
-// close performs a planned stop of the running hosts and closes everything else.
-func (d *deployment) close() {
+// shutDown performs a planned stop of the running hosts and closes everything else.
+func (d *deployment) shutDown() {
 	var all sync.WaitGroup
 	for _, h := range d.hosts {
 		all.Go(func() {
--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -138,7 +138,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d := newDeployment(ctx, t, dir)
-	defer d.close()
+	defer d.shutDown()
 	d.changeConfig(time.Now().Add(settleTimeout))
 	c := &callers{deployment: d}
 	c.traffic(ctx, seed, script)
