--- a/internal/proof/deployment/deployment_test.go
+++ b/internal/proof/deployment/deployment_test.go
@@ -58,7 +58,7 @@
 	name          string
 	address       string
 	storeLink     *rows.Link
-	targetLink    *pool.Line
+	targetLink    *pool.Transport
 	election      *leader.Election
 	entry         *entry.Entry
 	peerTransport *peer.Transport
@@ -122,7 +122,7 @@
 	h := &host{deployment: d, name: name, address: name, cancelCtx: cancel, done: make(chan struct{})}
 	log := d.logger(name)
 	h.storeLink = rows.NewLink(d.table, rand.New(rand.NewPCG(d.rnd.Uint64(), 2)))
-	h.targetLink = pool.NewLine(d.pool, time.Millisecond, rand.New(rand.NewPCG(d.rnd.Uint64(), 3)))
+	h.targetLink = pool.NewTransport(d.pool, time.Millisecond, rand.New(rand.NewPCG(d.rnd.Uint64(), 3)))
 	monitor := store.NewMonitor(h.storeLink, leader.RowKey, func(up bool, err error) {
 		log.Info("store availability changed", "serves", up, "error", fmt.Sprint(err))
 	})
@@ -162,8 +162,8 @@
 // it stops gets out.
 func (d *deployment) kill(h *host) {
 	h.down = true
-	h.storeLink.Set(rows.Trouble{Refuse: true})
-	h.targetLink.Set(pool.Fault{Cut: d.allTargetIDs()})
+	h.storeLink.SetFaults(rows.Faults{Refuse: true})
+	h.targetLink.SetFaults(pool.Faults{Unreachable: d.allTargetIDs()})
 	h.peerTransport.Close()
 	h.cancelCtx()
 	<-h.done
@@ -269,7 +269,7 @@
 			cancel()
 			if err == nil {
 				s.update(func() { s.cancelled = true })
-				d.pool.Do(func(p *pool.Pool, now time.Time) { p.Cancelled(s.job.ID, now) })
+				d.pool.Do(func(p *pool.Pool, now time.Time) { p.RecordCancelled(s.job.ID, now) })
 				return
 			}
 			time.Sleep(500 * time.Millisecond)
@@ -353,7 +353,7 @@
 		tasks += step.Count
 	}
 	d.pool.Do(func(p *pool.Pool, _ time.Time) {
-		if done := p.Done(s.job.ID); done != tasks*s.job.Occurrences() {
+		if done := p.TasksDone(s.job.ID); done != tasks*s.job.Occurrences() {
 			d.recordViolation("job %s has state completed with %d of %d tasks done", s.job.ID, done, tasks)
 		}
 	})
--- a/internal/proof/deployment/fallback_test.go
+++ b/internal/proof/deployment/fallback_test.go
@@ -16,11 +16,11 @@
 
 // setFollowerStoreLink sets the store link of a host that is not the leader and returns
 // the host.
-func (d *deployment) setFollowerStoreLink(t rows.Trouble) *host {
+func (d *deployment) setFollowerStoreLink(t rows.Faults) *host {
 	lead := d.leader()
 	for _, h := range d.hosts {
 		if h != lead {
-			h.storeLink.Set(t)
+			h.storeLink.SetFaults(t)
 			return h
 		}
 	}
@@ -30,7 +30,7 @@
 // The store refuses one host, or does not answer it. A peer stores what clients submit
 // and cancel there, and the clients are answered before their deadlines.
 func TestStoreUnavailableToOneHost(t *testing.T) {
-	for name, trouble := range map[string]rows.Trouble{"refused": {Refuse: true}, "silent": {Silent: true}} {
+	for name, trouble := range map[string]rows.Faults{"refused": {Refuse: true}, "silent": {Unresponsive: true}} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, 31, 4, 2, func(d *deployment) {
 				is := is.New(d.t)
@@ -50,9 +50,9 @@
 				is.NoErr(err)
 				is.Equal(status.State, progress.Running)
 				is.NoErr(h.entry.Cancel(ctx, j.ID, caller))
-				d.pool.Do(func(p *pool.Pool, now time.Time) { p.Cancelled(j.ID, now) })
+				d.pool.Do(func(p *pool.Pool, now time.Time) { p.RecordCancelled(j.ID, now) })
 				time.Sleep(2 * time.Second)
-				d.pool.Do(func(p *pool.Pool, _ time.Time) { is.Equal(p.BusyOf(j.ID), 0) })
+				d.pool.Do(func(p *pool.Pool, _ time.Time) { is.Equal(p.RunningOf(j.ID), 0) })
 			})
 		})
 	}
@@ -64,7 +64,7 @@
 	simulate(t, 32, 4, 1, func(d *deployment) {
 		is := is.New(d.t)
 		time.Sleep(2 * time.Second)
-		d.setStoreLinks(rows.Trouble{Silent: true})
+		d.setStoreLinks(rows.Faults{Unresponsive: true})
 		time.Sleep(3 * time.Second)
 		for _, h := range d.hosts {
 			began := time.Now()
@@ -72,7 +72,7 @@
 			is.True(err != nil)
 			is.True(time.Since(began) < 100*time.Millisecond)
 		}
-		d.setStoreLinks(rows.Trouble{})
+		d.setStoreLinks(rows.Faults{})
 		time.Sleep(2 * time.Second)
 	})
 }
--- a/internal/proof/deployment/faults_test.go
+++ b/internal/proof/deployment/faults_test.go
@@ -72,7 +72,7 @@
 			d.network.setDisconnected(h.address, d.host(f.Which).address, true)
 		}
 	case "forget":
-		d.table.Forget()
+		d.table.Compact()
 	case "cancel":
 		for _, s := range d.submissions {
 			if accepted, _, _ := s.get(); accepted && d.rnd.Float64() < f.Share {
@@ -101,25 +101,25 @@
 func (d *deployment) injectLinkFault(f fault) {
 	switch f.Kind {
 	case "cut store":
-		d.host(f.Which).storeLink.Set(rows.Trouble{Silent: true})
+		d.host(f.Which).storeLink.SetFaults(rows.Faults{Unresponsive: true})
 	case "cut leader from store":
 		if h := d.leader(); h != nil {
-			h.storeLink.Set(rows.Trouble{Refuse: true})
+			h.storeLink.SetFaults(rows.Faults{Refuse: true})
 		}
 	case "store down":
-		d.setStoreLinks(rows.Trouble{Silent: f.Which%2 == 0, Refuse: f.Which%2 == 1})
+		d.setStoreLinks(rows.Faults{Unresponsive: f.Which%2 == 0, Refuse: f.Which%2 == 1})
 	case "store loses":
-		d.setStoreLinks(rows.Trouble{Lose: f.Share})
+		d.setStoreLinks(rows.Faults{LostAnswers: f.Share})
 	case "store late":
-		d.setStoreLinks(rows.Trouble{Late: f.Share, LateBy: time.Duration(f.Which) * time.Second / 2})
+		d.setStoreLinks(rows.Faults{LateWrites: f.Share, LateBy: time.Duration(f.Which) * time.Second / 2})
 	case "store slow":
-		d.setStoreLinks(rows.Trouble{Slow: time.Duration(f.Which) * 80 * time.Millisecond})
+		d.setStoreLinks(rows.Faults{Latency: time.Duration(f.Which) * 80 * time.Millisecond})
 	case "orders lost":
-		d.setTargetLinks(pool.Fault{Lose: f.Share / 2})
+		d.setTargetLinks(pool.Faults{LostAnswers: f.Share / 2})
 	case "orders late":
-		d.setTargetLinks(pool.Fault{Late: f.Share / 2, LateBy: time.Duration(f.Which) * time.Second})
+		d.setTargetLinks(pool.Faults{LateOrders: f.Share / 2, LateBy: time.Duration(f.Which) * time.Second})
 	case "cut targets":
-		d.setTargetLinks(pool.Fault{Cut: d.sampleTargets(f.Share)})
+		d.setTargetLinks(pool.Faults{Unreachable: d.sampleTargets(f.Share)})
 	case "cut zone":
 		d.disconnectZone(f.Which)
 	}
@@ -149,11 +149,11 @@
 			continue
 		}
 		d.network.setDisconnected(h.address, isolated.address, true)
-		h.targetLink.Set(pool.Fault{Cut: inside})
+		h.targetLink.SetFaults(pool.Faults{Unreachable: inside})
 	}
 	if !isolated.down {
-		isolated.storeLink.Set(rows.Trouble{Silent: true})
-		isolated.targetLink.Set(pool.Fault{Cut: outside})
+		isolated.storeLink.SetFaults(rows.Faults{Unresponsive: true})
+		isolated.targetLink.SetFaults(pool.Faults{Unreachable: outside})
 	}
 }
 
@@ -170,15 +170,15 @@
 			d.incarnations++
 			p.Add(d.target(f.Which%3, f.Which%4, 1+d.incarnations), 0.99, now)
 		case "target hangs":
-			p.Hang(id, true)
+			p.SetStalled(id, true)
 		case "target fails":
-			p.FailAll(id, true)
+			p.SetFailing(id, true)
 		case "target slow":
-			p.Slow(id, 0.2)
+			p.SetSpeed(id, 0.2)
 		case "target drains":
 			p.Drain(id)
 		case "target rejects":
-			p.Reject(id, true)
+			p.SetRejecting(id, true)
 		}
 	})
 }
@@ -188,8 +188,8 @@
 func (d *deployment) heal(f fault) {
 	d.logger("test").Info("fault healed", "kind", f.Kind)
 	d.healHosts()
-	d.setStoreLinks(rows.Trouble{})
-	d.setTargetLinks(pool.Fault{})
+	d.setStoreLinks(rows.Faults{})
+	d.setTargetLinks(pool.Faults{})
 	if strings.HasPrefix(f.Kind, "target") {
 		d.healTargets()
 	}
@@ -212,10 +212,10 @@
 	d.pool.Do(func(p *pool.Pool, now time.Time) {
 		present := map[string]bool{}
 		for _, t := range p.Roster() {
-			p.Hang(t.ID, false)
-			p.FailAll(t.ID, false)
-			p.Slow(t.ID, 1)
-			p.Reject(t.ID, false)
+			p.SetStalled(t.ID, false)
+			p.SetFailing(t.ID, false)
+			p.SetSpeed(t.ID, 1)
+			p.SetRejecting(t.ID, false)
 			if t.Draining {
 				p.Kill(t.ID, now)
 				continue
@@ -236,6 +236,6 @@
 func (d *deployment) healAll() {
 	d.healHosts()
 	d.healTargets()
-	d.setStoreLinks(rows.Trouble{})
-	d.setTargetLinks(pool.Fault{})
+	d.setStoreLinks(rows.Faults{})
+	d.setTargetLinks(pool.Faults{})
 }
--- a/internal/proof/deployment/store_test.go
+++ b/internal/proof/deployment/store_test.go
@@ -11,10 +11,10 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-func (d *deployment) setStoreLinks(t rows.Trouble) {
+func (d *deployment) setStoreLinks(t rows.Faults) {
 	for _, h := range d.hosts {
 		if !h.down {
-			h.storeLink.Set(t)
+			h.storeLink.SetFaults(t)
 		}
 	}
 }
@@ -23,7 +23,7 @@
 // running tasks keep their leases, ends are acknowledged once the store is available
 // again, and no run is lost.
 func TestStoreDown(t *testing.T) {
-	for name, trouble := range map[string]rows.Trouble{"silent": {Silent: true}, "refused": {Refuse: true}} {
+	for name, trouble := range map[string]rows.Faults{"silent": {Unresponsive: true}, "refused": {Refuse: true}} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, 11, 4, 2, func(d *deployment) {
 				is := is.New(d.t)
@@ -34,7 +34,7 @@
 				d.setStoreLinks(trouble)
 				time.Sleep(8 * time.Second)
 				is.Equal(d.leader(), old) // no host could take over
-				d.setStoreLinks(rows.Trouble{})
+				d.setStoreLinks(rows.Faults{})
 				d.awaitEnds(30 * time.Second)
 				is.True(before <= 30)
 				is.Equal(startCount(d), 30) // nothing was started twice
@@ -49,8 +49,8 @@
 // answers slowly. Hosts read back each unknown outcome: no stored job is refused, and
 // no task is run twice or lost.
 func TestStoreLosesAnswers(t *testing.T) {
-	for name, trouble := range map[string]rows.Trouble{
-		"lost": {Lose: 0.4}, "late": {Late: 0.3, LateBy: 3 * time.Second}, "slow": {Slow: 400 * time.Millisecond},
+	for name, trouble := range map[string]rows.Faults{
+		"lost": {LostAnswers: 0.4}, "late": {LateWrites: 0.3, LateBy: 3 * time.Second}, "slow": {Latency: 400 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, 12, 4, 2, func(d *deployment) {
@@ -60,7 +60,7 @@
 					submitMix(d)
 					time.Sleep(time.Second)
 				}
-				d.setStoreLinks(rows.Trouble{})
+				d.setStoreLinks(rows.Faults{})
 				d.awaitEnds(60 * time.Second)
 			})
 		})
@@ -80,7 +80,7 @@
 		}
 		submitMix(d)
 		time.Sleep(50 * time.Millisecond)
-		d.table.Forget()
+		d.table.Compact()
 		time.Sleep(3 * time.Second)
 		for _, h := range d.hosts {
 			d.network.setDisconnected(h.address, lead.address, false)
--- a/internal/proof/deployment/takeover_test.go
+++ b/internal/proof/deployment/takeover_test.go
@@ -80,7 +80,7 @@
 // targets. The leader row is not renewed, so a standby takes it over and fences the
 // targets, which then refuse the old leader's orders, and it resigns.
 func TestLeaderDisconnectedFromStore(t *testing.T) {
-	for name, trouble := range map[string]rows.Trouble{"silent": {Silent: true}, "refused": {Refuse: true}} {
+	for name, trouble := range map[string]rows.Faults{"silent": {Unresponsive: true}, "refused": {Refuse: true}} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, 5, 4, 2, func(d *deployment) {
 				is := is.New(d.t)
@@ -88,12 +88,12 @@
 				submitMix(d)
 				time.Sleep(time.Second)
 				old := d.leader()
-				old.storeLink.Set(trouble)
+				old.storeLink.SetFaults(trouble)
 				time.Sleep(4 * time.Second)
 				is.True(old.election.OwnTerm() == nil) // fenced off by the targets
 				is.True(d.leader() != nil)
 				time.Sleep(2 * time.Second)
-				old.storeLink.Set(rows.Trouble{})
+				old.storeLink.SetFaults(rows.Faults{})
 				d.awaitEnds(30 * time.Second)
 			})
 		})
@@ -118,19 +118,19 @@
 				inside[t.ID], outside[t.ID] = t.Zone == "zone0", t.Zone != "zone0"
 			}
 		})
-		old.storeLink.Set(rows.Trouble{Silent: true})
-		old.targetLink.Set(pool.Fault{Cut: outside})
+		old.storeLink.SetFaults(rows.Faults{Unresponsive: true})
+		old.targetLink.SetFaults(pool.Faults{Unreachable: outside})
 		for _, h := range d.hosts {
 			if h != old {
 				d.network.setDisconnected(h.address, old.address, true)
-				h.targetLink.Set(pool.Fault{Cut: inside})
+				h.targetLink.SetFaults(pool.Faults{Unreachable: inside})
 			}
 		}
 		time.Sleep(9 * time.Second)
-		old.storeLink.Set(rows.Trouble{})
+		old.storeLink.SetFaults(rows.Faults{})
 		for _, h := range d.hosts {
 			d.network.setDisconnected(h.address, old.address, false)
-			h.targetLink.Set(pool.Fault{})
+			h.targetLink.SetFaults(pool.Faults{})
 		}
 		d.awaitEnds(60 * time.Second)
 	})
@@ -153,14 +153,14 @@
 		old := d.leader()
 		for _, h := range d.hosts {
 			if h != old {
-				h.targetLink.Set(pool.Fault{Cut: some})
+				h.targetLink.SetFaults(pool.Faults{Unreachable: some})
 			}
 		}
 		d.kill(old)
 		time.Sleep(12 * time.Second)
 		for _, h := range d.hosts {
 			if !h.down {
-				h.targetLink.Set(pool.Fault{})
+				h.targetLink.SetFaults(pool.Faults{})
 			}
 		}
 		d.awaitEnds(40 * time.Second)
--- a/internal/proof/deployment/target_test.go
+++ b/internal/proof/deployment/target_test.go
@@ -16,10 +16,10 @@
 	return store.Key{Table: table, Partition: "1", Name: name}
 }
 
-func (d *deployment) setTargetLinks(f pool.Fault) {
+func (d *deployment) setTargetLinks(f pool.Faults) {
 	for _, h := range d.hosts {
 		if !h.down {
-			h.targetLink.Set(f)
+			h.targetLink.SetFaults(f)
 		}
 	}
 }
@@ -28,8 +28,8 @@
 // newer ones. A run whose start was not answered keeps its capacity until a stop is
 // answered, so no target is overcommitted, and its task is started nowhere else meanwhile.
 func TestOrdersLostOrLate(t *testing.T) {
-	for name, fault := range map[string]pool.Fault{
-		"lost": {Lose: 0.1}, "late": {Late: 0.1, LateBy: 4 * time.Second}, "both": {Lose: 0.1, Late: 0.1, LateBy: 7 * time.Second},
+	for name, fault := range map[string]pool.Faults{
+		"lost": {LostAnswers: 0.1}, "late": {LateOrders: 0.1, LateBy: 4 * time.Second}, "both": {LostAnswers: 0.1, LateOrders: 0.1, LateBy: 7 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, 21, 3, 2, func(d *deployment) {
@@ -39,7 +39,7 @@
 					submitMix(d)
 					time.Sleep(time.Second)
 				}
-				d.setTargetLinks(pool.Fault{})
+				d.setTargetLinks(pool.Faults{})
 				d.awaitEnds(60 * time.Second)
 			})
 		})
@@ -60,9 +60,9 @@
 				cut[t.ID] = i%3 == 0
 			}
 		})
-		d.setTargetLinks(pool.Fault{Cut: cut})
+		d.setTargetLinks(pool.Faults{Unreachable: cut})
 		time.Sleep(9 * time.Second)
-		d.setTargetLinks(pool.Fault{})
+		d.setTargetLinks(pool.Faults{})
 		d.awaitEnds(60 * time.Second)
 	})
 }
@@ -130,7 +130,7 @@
 		d.pool.Do(func(p *pool.Pool, _ time.Time) {
 			for _, s := range d.submissions {
 				if _, cancelled, _ := s.get(); cancelled {
-					is.Equal(p.BusyOf(s.job.ID), 0)
+					is.Equal(p.RunningOf(s.job.ID), 0)
 				}
 			}
 		})
--- a/internal/proof/session/operator_test.go
+++ b/internal/proof/session/operator_test.go
@@ -58,7 +58,7 @@
 // host.
 func (s *session) inForceFragments(version int) (fragments []string) {
 	for _, h := range s.site.Hosts() {
-		fragments = append(fragments, fmt.Sprintf(`"host":%q,"version":%d,`, h.Peer(), version))
+		fragments = append(fragments, fmt.Sprintf(`"host":%q,"version":%d,`, h.PeerAddress(), version))
 	}
 	return fragments
 }
@@ -84,12 +84,12 @@
 	s.heading("a base that was never current")
 	s.record(apiCall{0, operator, "PUT", "/v1/configuration", changeRequest(9, "first-10", configuration)})
 	s.heading("the platform is down: not accepted")
-	s.setStoreLinks(rows.Trouble{Refuse: true})
+	s.setStoreLinks(rows.Faults{Refuse: true})
 	s.record(apiCall{0, operator, "PUT", "/v1/configuration", changeRequest(3, "first-4", configuration+"# four\n")})
 	s.heading("the platform makes the write and loses the answer; sent again, it is settled")
-	s.setStoreLinks(rows.Trouble{Lose: 1})
+	s.setStoreLinks(rows.Faults{LostAnswers: 1})
 	s.record(apiCall{0, operator, "PUT", "/v1/configuration", changeRequest(3, "first-4", configuration+"# four\n")})
-	s.setStoreLinks(rows.Trouble{})
+	s.setStoreLinks(rows.Faults{})
 	s.record(apiCall{0, operator, "PUT", "/v1/configuration", changeRequest(3, "first-4", configuration+"# four\n")})
 	s.awaitConfig(4)
 	s.record(apiCall{2, operator, "GET", "/v1/configuration", ""})
--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -96,7 +96,7 @@
 	case "change":
 		d.changeConfig(time.Now().Add(settleTimeout))
 	case "forget":
-		d.site.Table.Forget()
+		d.site.Table.Compact()
 	default:
 		d.injectTargetFault(f)
 	}
@@ -118,7 +118,7 @@
 		list := p.Roster()
 		id = list[f.which%len(list)].ID
 		if f.kind == "hang" {
-			p.Hang(id, true)
+			p.SetStalled(id, true)
 			return
 		}
 		if len(list) > 6 { // leaves enough for each kind of job
@@ -126,7 +126,7 @@
 		}
 	})
 	time.Sleep(f.length)
-	d.site.Shared.Do(func(p *pool.Pool, _ time.Time) { p.Hang(id, false) })
+	d.site.Shared.Do(func(p *pool.Pool, _ time.Time) { p.SetStalled(id, false) })
 }
 
 // run executes a script and returns the violations.
--- a/internal/work/dispatch/preemption_test.go
+++ b/internal/work/dispatch/preemption_test.go
@@ -10,14 +10,14 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// An urgent gang arrives while small tasks fill its rack. It is in time only if
-// their room is cleared; they are run again and all ends well.
+// An urgent gang arrives while small tasks fill its rack. It meets its objective only if it
+// preempts some of them. Those run again, and all jobs end.
 func TestUrgentGangPreempts(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 4, DefaultBounds())
 	d.submit(2, 6*time.Second, small(32))
 	d.run(time.Second)
-	id := d.submit(0, 2500*time.Millisecond, urgent(2, 8))
+	id := d.submit(0, 2500*time.Millisecond, urgentGang(2, 8))
 	d.run(4 * time.Second)
 	is.True(d.duration(id) > 0)
 	is.True(d.duration(id) < 4*time.Second) // its objective
@@ -25,50 +25,50 @@
 	d.check()
 }
 
-// An urgent job of one small task arrives while a large gang fills the fleet and
-// would lose far more work than the job is worth. It waits; the gang goes on.
+// An urgent job of one small task arrives while a large gang fills the fleet. Preempting the
+// gang would lose far more work than the job is worth, so the job waits and the gang goes on.
 func TestCostlyPreemptionIsAvoided(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 4, DefaultBounds())
-	gang := d.submit(1, 8*time.Second, large(4, 8))
+	gang := d.submit(1, 8*time.Second, largeGang(4, 8))
 	d.run(5 * time.Second)
-	d.submit(0, 2500*time.Millisecond, urgent(1, 1))
+	d.submit(0, 2500*time.Millisecond, urgentGang(1, 1))
 	d.run(3500 * time.Millisecond)
 	is.True(d.duration(gang) > 0) // not stopped
 	d.run(20 * time.Second)
 	d.check()
 }
 
-// The same urgent job, where its account is guaranteed an accelerator: it begins
-// in time whatever the gang loses.
+// The same urgent job, but its account is guaranteed accelerators: it begins within
+// ReclaimTime, whatever the gang loses.
 func TestGuaranteedWorkPreemptsAtAnyCost(t *testing.T) {
 	is := is.New(t)
 	b := DefaultBounds()
 	d := newSimulation(t, 1, 4, b)
 	d.m.SetGuarantees(map[string]int{"a": 8})
-	d.submit(1, 8*time.Second, large(4, 8))
+	d.submit(1, 8*time.Second, largeGang(4, 8))
 	d.run(time.Second)
-	id := d.submit(0, 2500*time.Millisecond, urgent(1, 1))
+	id := d.submit(0, 2500*time.Millisecond, urgentGang(1, 1))
 	d.run(b.ReclaimTime)
 	is.Equal(d.state(id), progress.Running)
 	d.run(40 * time.Second)
 	d.check()
 }
 
-// Room is cleared for an urgent gang, and the polls that would tell that the
-// stopped tasks have ended are lost. An extra poll of each target finds it: the gang waits
-// for some tenths of a second and not for the polls' time-out.
+// Tasks are preempted for an urgent gang, and the polls that would list their ends are lost.
+// An extra poll of each target lists them, so the gang waits some tenths of a second and not
+// until the polls time out.
 func TestPreemptedCapacityIsFoundThoughPollsAreLost(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 4, DefaultBounds())
 	d.submit(2, 6*time.Second, small(32))
 	d.run(1500 * time.Millisecond)
 	d.dropCommand = func(c Command) bool {
-		h, ok := c.(Poll)
-		return ok && !h.Extra
+		poll, ok := c.(Poll)
+		return ok && !poll.Extra
 	}
-	d.run(1500 * time.Millisecond) // the polls that were answered are asked again, and lost
-	id := d.submit(0, 2500*time.Millisecond, urgent(2, 8))
+	d.run(1500 * time.Millisecond) // the answered polls are followed by new ones, which are lost
+	id := d.submit(0, 2500*time.Millisecond, urgentGang(2, 8))
 	d.run(1500 * time.Millisecond)
 	is.Equal(d.state(id), progress.Running)
 	d.dropCommand = nil
@@ -76,15 +76,14 @@
 	d.check()
 }
 
-// Two urgent gangs wait for room that must not be cleared yet. Targets are held
-// back for them, so small tasks that arrive later do not take each bit that comes
-// free.
+// An urgent gang waits for capacity that it may not preempt yet. Targets are reserved for
+// it, so that small tasks that arrive later do not take the capacity that is freed.
 func TestTargetsAreReserved(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
 	d.submit(1, 3*time.Second, graph.Step{Count: 2, Needs: graph.Resources{CPU: 26000, Accelerators: 8}, Estimate: 8 * time.Second, Gang: true})
 	d.run(2500 * time.Millisecond)
-	id := d.submit(0, 2500*time.Millisecond, urgent(2, 4))
+	id := d.submit(0, 2500*time.Millisecond, urgentGang(2, 4))
 	d.submit(2, 6*time.Second, small(16))
 	d.run(time.Second) // the large gang ends
 	is.Equal(d.state(id), progress.Running)
