--- a/internal/proof/deployment/deployment_test.go
+++ b/internal/proof/deployment/deployment_test.go
@@ -58,7 +58,7 @@
 	name          string
 	address       string
 	storeLink     *rows.Link
-	targetLink    *pool.Transport
+	transport     *pool.Transport
 	election      *leader.Election
 	entry         *entry.Entry
 	peerTransport *peer.Transport
@@ -122,11 +122,11 @@
 	h := &host{deployment: d, name: name, address: name, cancelCtx: cancel, done: make(chan struct{})}
 	log := d.logger(name)
 	h.storeLink = rows.NewLink(d.table, rand.New(rand.NewPCG(d.rnd.Uint64(), 2)))
-	h.targetLink = pool.NewTransport(d.pool, time.Millisecond, rand.New(rand.NewPCG(d.rnd.Uint64(), 3)))
+	h.transport = pool.NewTransport(d.pool, time.Millisecond, rand.New(rand.NewPCG(d.rnd.Uint64(), 3)))
 	monitor := store.NewMonitor(h.storeLink, leader.RowKey, func(up bool, err error) {
 		log.Info("store availability changed", "serves", up, "error", fmt.Sprint(err))
 	})
-	disp := dispatcher.New(monitor, h.targetLink, d.pool, dispatch.DefaultBounds(), log, dispatcher.WithClock(time.Now))
+	disp := dispatcher.New(monitor, h.transport, d.pool, dispatch.DefaultBounds(), log, dispatcher.WithClock(time.Now))
 	endpoint := rpc.New(h.address, disp, catalog.NewKeeper(nil), monitor.Up, rpc.WithCores(1))
 	h.peerTransport = peer.New(endpoint.Handle, nil, d.network.dial(h.address), logr.Discard())
 	h.election = leader.New(monitor, endpoint, disp.Lead, fmt.Sprintf("%s#%d", name, incarnation), h.address, log, leader.WithClock(time.Now), leader.WithRandom(d.randomSource()))
@@ -163,7 +163,7 @@
 func (d *deployment) kill(h *host) {
 	h.down = true
 	h.storeLink.SetFaults(rows.Faults{Refuse: true})
-	h.targetLink.SetFaults(pool.Faults{Unreachable: d.allTargetIDs()})
+	h.transport.SetFaults(pool.Faults{Unreachable: d.allTargetIDs()})
 	h.peerTransport.Close()
 	h.cancelCtx()
 	<-h.done
--- a/internal/proof/deployment/fallback_test.go
+++ b/internal/proof/deployment/fallback_test.go
@@ -14,13 +14,13 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// setFollowerStoreLink sets the store link of a host that is not the leader and returns
-// the host.
-func (d *deployment) setFollowerStoreLink(t rows.Faults) *host {
+// setFollowerStoreFaults sets the faults of the store link of a host that is not the
+// leader, and returns the host.
+func (d *deployment) setFollowerStoreFaults(f rows.Faults) *host {
 	lead := d.leader()
 	for _, h := range d.hosts {
 		if h != lead {
-			h.storeLink.SetFaults(t)
+			h.storeLink.SetFaults(f)
 			return h
 		}
 	}
@@ -30,12 +30,12 @@
 // The store refuses one host, or does not answer it. A peer stores what clients submit
 // and cancel there, and the clients are answered before their deadlines.
 func TestStoreUnavailableToOneHost(t *testing.T) {
-	for name, trouble := range map[string]rows.Faults{"refused": {Refuse: true}, "silent": {Unresponsive: true}} {
+	for name, faults := range map[string]rows.Faults{"refused": {Refuse: true}, "silent": {Unresponsive: true}} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, 31, 4, 2, func(d *deployment) {
 				is := is.New(d.t)
 				time.Sleep(2 * time.Second)
-				h := d.setFollowerStoreLink(trouble)
+				h := d.setFollowerStoreFaults(faults)
 				time.Sleep(3 * time.Second) // the host detects it
 				ctx, cancel := context.WithTimeout(d.ctx, 3*time.Second)
 				defer cancel()
@@ -64,7 +64,7 @@
 	simulate(t, 32, 4, 1, func(d *deployment) {
 		is := is.New(d.t)
 		time.Sleep(2 * time.Second)
-		d.setStoreLinks(rows.Faults{Unresponsive: true})
+		d.setStoreFaults(rows.Faults{Unresponsive: true})
 		time.Sleep(3 * time.Second)
 		for _, h := range d.hosts {
 			began := time.Now()
@@ -72,7 +72,7 @@
 			is.True(err != nil)
 			is.True(time.Since(began) < 100*time.Millisecond)
 		}
-		d.setStoreLinks(rows.Faults{})
+		d.setStoreFaults(rows.Faults{})
 		time.Sleep(2 * time.Second)
 	})
 }
--- a/internal/proof/deployment/faults_test.go
+++ b/internal/proof/deployment/faults_test.go
@@ -107,19 +107,19 @@
 			h.storeLink.SetFaults(rows.Faults{Refuse: true})
 		}
 	case "store down":
-		d.setStoreLinks(rows.Faults{Unresponsive: f.Which%2 == 0, Refuse: f.Which%2 == 1})
+		d.setStoreFaults(rows.Faults{Unresponsive: f.Which%2 == 0, Refuse: f.Which%2 == 1})
 	case "store loses":
-		d.setStoreLinks(rows.Faults{LostAnswers: f.Share})
+		d.setStoreFaults(rows.Faults{LostAnswers: f.Share})
 	case "store late":
-		d.setStoreLinks(rows.Faults{LateWrites: f.Share, LateBy: time.Duration(f.Which) * time.Second / 2})
+		d.setStoreFaults(rows.Faults{LateWrites: f.Share, LateBy: time.Duration(f.Which) * time.Second / 2})
 	case "store slow":
-		d.setStoreLinks(rows.Faults{Latency: time.Duration(f.Which) * 80 * time.Millisecond})
+		d.setStoreFaults(rows.Faults{Latency: time.Duration(f.Which) * 80 * time.Millisecond})
 	case "orders lost":
-		d.setTargetLinks(pool.Faults{LostAnswers: f.Share / 2})
+		d.setTransportFaults(pool.Faults{LostAnswers: f.Share / 2})
 	case "orders late":
-		d.setTargetLinks(pool.Faults{LateOrders: f.Share / 2, LateBy: time.Duration(f.Which) * time.Second})
+		d.setTransportFaults(pool.Faults{LateOrders: f.Share / 2, LateBy: time.Duration(f.Which) * time.Second})
 	case "cut targets":
-		d.setTargetLinks(pool.Faults{Unreachable: d.sampleTargets(f.Share)})
+		d.setTransportFaults(pool.Faults{Unreachable: d.sampleTargets(f.Share)})
 	case "cut zone":
 		d.disconnectZone(f.Which)
 	}
@@ -128,11 +128,11 @@
 // sampleTargets returns the ids of all targets, true for about a share of them. The
 // choice depends on the ids alone.
 func (d *deployment) sampleTargets(share float64) map[string]bool {
-	cut := map[string]bool{}
+	sample := map[string]bool{}
 	for id := range d.allTargetIDs() {
-		cut[id] = float64(hash(id, 0)%100)/100 < share
+		sample[id] = float64(hash(id, 0)%100)/100 < share
 	}
-	return cut
+	return sample
 }
 
 // disconnectZone disconnects one host and one rack from everything else.
@@ -149,11 +149,11 @@
 			continue
 		}
 		d.network.setDisconnected(h.address, isolated.address, true)
-		h.targetLink.SetFaults(pool.Faults{Unreachable: inside})
+		h.transport.SetFaults(pool.Faults{Unreachable: inside})
 	}
 	if !isolated.down {
 		isolated.storeLink.SetFaults(rows.Faults{Unresponsive: true})
-		isolated.targetLink.SetFaults(pool.Faults{Unreachable: outside})
+		isolated.transport.SetFaults(pool.Faults{Unreachable: outside})
 	}
 }
 
@@ -188,8 +188,8 @@
 func (d *deployment) heal(f fault) {
 	d.logger("test").Info("fault healed", "kind", f.Kind)
 	d.healHosts()
-	d.setStoreLinks(rows.Faults{})
-	d.setTargetLinks(pool.Faults{})
+	d.setStoreFaults(rows.Faults{})
+	d.setTransportFaults(pool.Faults{})
 	if strings.HasPrefix(f.Kind, "target") {
 		d.healTargets()
 	}
@@ -236,6 +236,6 @@
 func (d *deployment) healAll() {
 	d.healHosts()
 	d.healTargets()
-	d.setStoreLinks(rows.Faults{})
-	d.setTargetLinks(pool.Faults{})
+	d.setStoreFaults(rows.Faults{})
+	d.setTransportFaults(pool.Faults{})
 }
--- a/internal/proof/deployment/store_test.go
+++ b/internal/proof/deployment/store_test.go
@@ -11,10 +11,10 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-func (d *deployment) setStoreLinks(t rows.Faults) {
+func (d *deployment) setStoreFaults(f rows.Faults) {
 	for _, h := range d.hosts {
 		if !h.down {
-			h.storeLink.SetFaults(t)
+			h.storeLink.SetFaults(f)
 		}
 	}
 }
@@ -23,7 +23,7 @@
 // running tasks keep their leases, ends are acknowledged once the store is available
 // again, and no run is lost.
 func TestStoreDown(t *testing.T) {
-	for name, trouble := range map[string]rows.Faults{"silent": {Unresponsive: true}, "refused": {Refuse: true}} {
+	for name, faults := range map[string]rows.Faults{"silent": {Unresponsive: true}, "refused": {Refuse: true}} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, 11, 4, 2, func(d *deployment) {
 				is := is.New(d.t)
@@ -31,10 +31,10 @@
 				s := d.submit(d.singleStepJob(2, graph.Step{Count: 30, Needs: needs(2), Estimate: 8 * time.Second}), succeedsAfter(8*time.Second))
 				time.Sleep(time.Second)
 				old, before := d.leader(), startCount(d)
-				d.setStoreLinks(trouble)
+				d.setStoreFaults(faults)
 				time.Sleep(8 * time.Second)
 				is.Equal(d.leader(), old) // no host could take over
-				d.setStoreLinks(rows.Faults{})
+				d.setStoreFaults(rows.Faults{})
 				d.awaitEnds(30 * time.Second)
 				is.True(before <= 30)
 				is.Equal(startCount(d), 30) // nothing was started twice
@@ -49,18 +49,18 @@
 // answers slowly. Hosts read back each unknown outcome: no stored job is refused, and
 // no task is run twice or lost.
 func TestStoreLosesAnswers(t *testing.T) {
-	for name, trouble := range map[string]rows.Faults{
+	for name, faults := range map[string]rows.Faults{
 		"lost": {LostAnswers: 0.4}, "late": {LateWrites: 0.3, LateBy: 3 * time.Second}, "slow": {Latency: 400 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, 12, 4, 2, func(d *deployment) {
 				time.Sleep(2 * time.Second)
-				d.setStoreLinks(trouble)
+				d.setStoreFaults(faults)
 				for range 4 {
 					submitMix(d)
 					time.Sleep(time.Second)
 				}
-				d.setStoreLinks(rows.Faults{})
+				d.setStoreFaults(rows.Faults{})
 				d.awaitEnds(60 * time.Second)
 			})
 		})
--- a/internal/proof/deployment/takeover_test.go
+++ b/internal/proof/deployment/takeover_test.go
@@ -80,7 +80,7 @@
 // targets. The leader row is not renewed, so a standby takes it over and fences the
 // targets, which then refuse the old leader's orders, and it resigns.
 func TestLeaderDisconnectedFromStore(t *testing.T) {
-	for name, trouble := range map[string]rows.Faults{"silent": {Unresponsive: true}, "refused": {Refuse: true}} {
+	for name, faults := range map[string]rows.Faults{"silent": {Unresponsive: true}, "refused": {Refuse: true}} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, 5, 4, 2, func(d *deployment) {
 				is := is.New(d.t)
@@ -88,7 +88,7 @@
 				submitMix(d)
 				time.Sleep(time.Second)
 				old := d.leader()
-				old.storeLink.SetFaults(trouble)
+				old.storeLink.SetFaults(faults)
 				time.Sleep(4 * time.Second)
 				is.True(old.election.OwnTerm() == nil) // fenced off by the targets
 				is.True(d.leader() != nil)
@@ -119,18 +119,18 @@
 			}
 		})
 		old.storeLink.SetFaults(rows.Faults{Unresponsive: true})
-		old.targetLink.SetFaults(pool.Faults{Unreachable: outside})
+		old.transport.SetFaults(pool.Faults{Unreachable: outside})
 		for _, h := range d.hosts {
 			if h != old {
 				d.network.setDisconnected(h.address, old.address, true)
-				h.targetLink.SetFaults(pool.Faults{Unreachable: inside})
+				h.transport.SetFaults(pool.Faults{Unreachable: inside})
 			}
 		}
 		time.Sleep(9 * time.Second)
 		old.storeLink.SetFaults(rows.Faults{})
 		for _, h := range d.hosts {
 			d.network.setDisconnected(h.address, old.address, false)
-			h.targetLink.SetFaults(pool.Faults{})
+			h.transport.SetFaults(pool.Faults{})
 		}
 		d.awaitEnds(60 * time.Second)
 	})
@@ -144,23 +144,23 @@
 		time.Sleep(2 * time.Second)
 		d.submit(d.singleStepJob(2, graph.Step{Count: 50, Needs: needs(1), Estimate: 5 * time.Second}), succeedsAfter(5*time.Second))
 		time.Sleep(time.Second)
-		some := map[string]bool{}
+		unreachable := map[string]bool{}
 		d.pool.Do(func(p *pool.Pool, _ time.Time) {
 			for _, t := range p.Roster()[:3] {
-				some[t.ID] = true
+				unreachable[t.ID] = true
 			}
 		})
 		old := d.leader()
 		for _, h := range d.hosts {
 			if h != old {
-				h.targetLink.SetFaults(pool.Faults{Unreachable: some})
+				h.transport.SetFaults(pool.Faults{Unreachable: unreachable})
 			}
 		}
 		d.kill(old)
 		time.Sleep(12 * time.Second)
 		for _, h := range d.hosts {
 			if !h.down {
-				h.targetLink.SetFaults(pool.Faults{})
+				h.transport.SetFaults(pool.Faults{})
 			}
 		}
 		d.awaitEnds(40 * time.Second)
--- a/internal/proof/deployment/target_test.go
+++ b/internal/proof/deployment/target_test.go
@@ -16,10 +16,10 @@
 	return store.Key{Table: table, Partition: "1", Name: name}
 }
 
-func (d *deployment) setTargetLinks(f pool.Faults) {
+func (d *deployment) setTransportFaults(f pool.Faults) {
 	for _, h := range d.hosts {
 		if !h.down {
-			h.targetLink.SetFaults(f)
+			h.transport.SetFaults(f)
 		}
 	}
 }
@@ -28,18 +28,18 @@
 // newer ones. A run whose start was not answered keeps its capacity until a stop is
 // answered, so no target is overcommitted, and its task is started nowhere else meanwhile.
 func TestOrdersLostOrLate(t *testing.T) {
-	for name, fault := range map[string]pool.Faults{
+	for name, faults := range map[string]pool.Faults{
 		"lost": {LostAnswers: 0.1}, "late": {LateOrders: 0.1, LateBy: 4 * time.Second}, "both": {LostAnswers: 0.1, LateOrders: 0.1, LateBy: 7 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, 21, 3, 2, func(d *deployment) {
 				time.Sleep(2 * time.Second)
-				d.setTargetLinks(fault)
+				d.setTransportFaults(faults)
 				for range 5 {
 					submitMix(d)
 					time.Sleep(time.Second)
 				}
-				d.setTargetLinks(pool.Faults{})
+				d.setTransportFaults(pool.Faults{})
 				d.awaitEnds(60 * time.Second)
 			})
 		})
@@ -54,15 +54,15 @@
 		d.submit(d.singleStepJob(2, graph.Step{Count: 40, Needs: needs(1), Estimate: 7 * time.Second}), succeedsAfter(7*time.Second))
 		d.submit(d.singleStepJob(1, graph.Step{Count: 4, Needs: needs(4), Estimate: 7 * time.Second, Gang: true}), succeedsAfter(7*time.Second))
 		time.Sleep(time.Second)
-		cut := map[string]bool{}
+		unreachable := map[string]bool{}
 		d.pool.Do(func(p *pool.Pool, _ time.Time) {
 			for i, t := range p.Roster() {
-				cut[t.ID] = i%3 == 0
+				unreachable[t.ID] = i%3 == 0
 			}
 		})
-		d.setTargetLinks(pool.Faults{Unreachable: cut})
+		d.setTransportFaults(pool.Faults{Unreachable: unreachable})
 		time.Sleep(9 * time.Second)
-		d.setTargetLinks(pool.Faults{})
+		d.setTransportFaults(pool.Faults{})
 		d.awaitEnds(60 * time.Second)
 	})
 }
--- a/internal/proof/session/session_test.go
+++ b/internal/proof/session/session_test.go
@@ -92,15 +92,15 @@
 	st, err := site.Start(func(host int, _ logr.Logger) scheduler.Ports {
 		link := rows.NewLink(table, rand.New(rand.NewPCG(uint64(host), 1)))
 		s.links = append(s.links, link)
-		line := pool.NewTransport(shared, 0, rand.New(rand.NewPCG(uint64(host), 2)))
-		return scheduler.Ports{Store: link, Line: line, Roster: shared}
+		transport := pool.NewTransport(shared, 0, rand.New(rand.NewPCG(uint64(host), 2)))
+		return scheduler.Ports{Store: link, Line: transport, Roster: shared}
 	}, site.WithHosts(1), site.WithOperatorKey(credential.NewKey(operator).Hash()), site.WithSettings(settings.WithUnreadyTime(10*time.Millisecond)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.site = st
 	t.Cleanup(func() {
-		s.setStoreLinks(rows.Faults{})
+		s.setStoreFaults(rows.Faults{})
 		if err := st.Stop(); err != nil {
 			t.Error(err)
 		}
@@ -125,10 +125,10 @@
 	return pool.Share(ctx, p)
 }
 
-// setStoreLinks sets the faults of all hosts' links to the store.
-func (s *session) setStoreLinks(t rows.Faults) {
+// setStoreFaults sets the faults of all hosts' links to the store.
+func (s *session) setStoreFaults(f rows.Faults) {
 	for _, l := range s.links {
-		l.SetFaults(t)
+		l.SetFaults(f)
 	}
 }
 
