--- a/internal/host/credential/reloader.go
+++ b/internal/host/credential/reloader.go
@@ -25,7 +25,8 @@
 	value       T        // of the newest usable content
 }
 
-// newReloader returns a reloader that has read the files once.
+// newReloader returns a reloader that has read the files once. An error of this first read
+// is returned; later ones are passed to onError.
 func newReloader[T any](onError ErrorHandler, parse func([][]byte) (T, error), names ...string) (*reloader[T], error) {
 	if onError == nil {
 		onError = func(error) {}
--- a/internal/host/credential/tls.go
+++ b/internal/host/credential/tls.go
@@ -15,7 +15,8 @@
 	reloader *reloader[*tls.Certificate]
 }
 
-// NewCertificate reads the files. onError may be nil.
+// NewCertificate reads the files. Its error names the files that cannot be used. onError
+// may be nil.
 func NewCertificate(certFile, keyFile string, onError ErrorHandler) (*Certificate, error) {
 	r, err := newReloader(onError, parsePair, certFile, keyFile)
 	if err != nil {
--- a/internal/host/scheduler/freshness_test.go
+++ b/internal/host/scheduler/freshness_test.go
@@ -10,9 +10,9 @@
 )
 
 // A host's process is paused for three seconds, while one queue is removed and another
-// added. Two requests arrive during the pause. Without waiting, the process would handle
-// the one by the old configuration and the other by the new one, which it reads a moment
-// after it resumes.
+// added. Two requests arrive during the pause. Without waiting, the process could refuse
+// the later one by the old configuration and serve the earlier one by the new one, which
+// it reads a moment after it resumes.
 func TestRequestsWaitForConfigurationAfterPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -34,7 +34,7 @@
 		is.Equal(took(t.Context()), time.Duration(0))
 
 		time.Sleep(3 * time.Second)
-		is.Equal(took(t.Context()), maxConfirmWait) // the store does not answer
+		is.Equal(took(t.Context()), maxConfirmWait) // the store does not answer; the configuration in force is used
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
 		is.Equal(took(ctx), 10*time.Millisecond) // the client gave up
--- a/internal/host/scheduler/scheduler.go
+++ b/internal/host/scheduler/scheduler.go
@@ -173,7 +173,7 @@
 // Store returns the store as the scheduler uses it.
 func (s *Scheduler) Store() store.Store { return s.store }
 
-// StoreUp reports whether the store counts as up for this host.
+// StoreUp reports whether the store serves this host, judged by the outcomes of its calls.
 func (s *Scheduler) StoreUp() bool { return s.store.Up() }
 
 // Entry returns the entry, which serves requests of clients.
@@ -183,8 +183,8 @@
 func (s *Scheduler) Catalog() *catalog.Keeper { return s.keeper }
 
 // AwaitCatalog waits briefly if the configuration in force may be outdated, as after the
-// process was paused. While the store is unavailable it does not wait: there is no newer
-// configuration to read.
+// process was paused. While the store is unavailable it does not wait, since a newer
+// configuration could not be read.
 func (s *Scheduler) AwaitCatalog(ctx context.Context) {
 	if s.store.Up() {
 		s.freshness.await(ctx)
