--- a/internal/config/catalog/keeper.go
+++ b/internal/config/catalog/keeper.go
@@ -43,7 +43,8 @@
 }
 
 // Offer decodes a stored configuration and puts it in force if it is newer than the
-// current one. It reports whether it did.
+// current one. It reports whether it did. One that cannot be decoded is an error and
+// changes nothing.
 func (k *Keeper) Offer(stored []byte) (bool, error) {
 	c, err := k.decode(stored)
 	if err != nil {
--- a/internal/config/text/parse_test.go
+++ b/internal/config/text/parse_test.go
@@ -159,7 +159,7 @@
 }
 
 // TestSectionOrderDoesNotMatter shuffles the sections. The configuration must stay the
-// same.
+// same, except that guarantees keep the order of the text; the text here has only one.
 func TestSectionOrderDoesNotMatter(t *testing.T) {
 	parts := strings.Split(strings.TrimPrefix(valid, "["), "\n[")
 	want, err := text.Parse([]byte(valid))
--- a/internal/config/text/zone.go
+++ b/internal/config/text/zone.go
@@ -43,8 +43,8 @@
 }
 
 // checkCapacity checks that each job fits in some zone and that the guarantees of each
-// zone fit together. It does nothing if no zone is described or a zone has no valid
-// workers.
+// zone fit together. If one zone is described, all zones with guarantees must be. It does
+// nothing if no zone is described or a zone has no valid workers.
 func (r *reader) checkCapacity() {
 	capacities := map[string]*shape.Zone{}
 	for name, z := range r.zones {
--- a/internal/config/version/version.go
+++ b/internal/config/version/version.go
@@ -58,7 +58,8 @@
 
 // Defaults of jobs that the text describes.
 const (
-	// defaultMaxAttempts is the number of failures after which a repeatable job fails.
+	// defaultMaxAttempts is the number of failures of one task after which a repeatable
+	// job fails.
 	defaultMaxAttempts = 3
 	// defaultSlackFactor and defaultAllowance set the objective of a job whose service
 	// has none.
@@ -86,7 +87,8 @@
 	return catalog.New(number, queues, accounts, services, catalog.Limits{}, catalog.WithDraining(c.DrainingTargets()...), catalog.WithEvacuated(c.Evacuated()...))
 }
 
-// Priorities of jobs. Urgent and guaranteed jobs may preempt the other two.
+// Priorities of jobs. Urgent and guaranteed jobs have the first one, which may preempt
+// jobs of the other two.
 const (
 	priorityUrgent = 0
 	priorityNormal = 1
--- a/internal/config/version/version_test.go
+++ b/internal/config/version/version_test.go
@@ -56,7 +56,8 @@
 }
 
 // Two operators change the text concurrently, based on the same version. Exactly one
-// change takes effect; the other fails with ErrStaleBase.
+// change takes effect; the error of the other wraps ErrStaleBase and names the current
+// version.
 func TestConcurrentChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
