--- a/internal/operator/command/command_test.go
+++ b/internal/operator/command/command_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// The help of each command has an example. Each command that prints results can print
-// them as JSON, for scripts.
+// The help of each command has an example, for new users to copy. Each command that prints
+// results can print them as JSON, for scripts.
 func TestHelpOfEachCommandHasExample(t *testing.T) {
 	is := is.New(t)
 	hasJSON := map[string]bool{
--- a/internal/operator/command/evacuation.go
+++ b/internal/operator/command/evacuation.go
@@ -18,7 +18,8 @@
 	Args  zoneArgs `positional-args:"yes"`
 }
 
-// Execute evacuates a zone. It refuses a zone without targets, whose name may be misspelt.
+// Execute evacuates a zone. Unless --empty is given, it refuses a zone without targets,
+// whose name may be misspelt.
 func (c *evacuateCommand) Execute([]string) error {
 	if !c.Empty {
 		if err := c.checkZone(c.Args.Zone); err != nil {
--- a/internal/report/linelog/writer_test.go
+++ b/internal/report/linelog/writer_test.go
@@ -29,7 +29,7 @@
 }
 
 // When the log collector stops reading, the program must not block: lines beyond the
-// buffer are dropped and counted.
+// buffer are dropped, and a line in their place gives their number.
 func TestBlockedOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/standin/pool/checks.go
+++ b/internal/standin/pool/checks.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// checkSingleRun checks that a task has one run at a time, and none after a run that
-// is done was acknowledged.
+// checkSingleRun checks that a task has one run at a time, and none after its end as done
+// was acknowledged. Tasks of speculative steps are exempt.
 func (p *Pool) checkSingleRun(x *execution) {
 	if x.step.Speculative {
 		return
