--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -58,8 +58,8 @@
 // Catalog is one version of the configuration.
 type Catalog struct {
 	version  int64
-	queues   []Queue            // longest prefix first
-	accounts []Account          //
+	queues   []Queue // longest prefix first
+	accounts []Account
 	services map[string]Service // by name
 	limits   Limits
 	byHost   map[string][]int  // indexes of queues, by lower-case virtual host
--- a/internal/config/text/service.go
+++ b/internal/config/text/service.go
@@ -63,7 +63,7 @@
 	} else if k.weighted && k.completion == 0 && k.fragmentation == 0 {
 		section.Fault("completionWeight", "both weights are 0; at least one must be positive")
 	}
-	// A stopped job is restarted; a job that is not repeatable would run twice.
+	// A stopped job is started again, so one that is not repeatable would run twice.
 	if k.stoppable && !k.repeatable {
 		section.Fault("stoppable", "a job that is not repeatable cannot be stopped and started again")
 	}
