--- a/internal/proof/deployment/faults_test.go
+++ b/internal/proof/deployment/faults_test.go
@@ -16,7 +16,7 @@
 	Kind  string
 	At    time.Duration
 	For   time.Duration
-	Which int     // index of the host or target
+	Which int     // index of the host or target; length of a delay
 	Share float64 // of targets, orders, answers or jobs that are affected
 }
 
--- a/internal/proof/soak/proxy_test.go
+++ b/internal/proof/soak/proxy_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// forward copies one direction of a connection, which the mode held stops.
+// forward copies one direction of a connection. The mode held stops this direction.
 func (p *proxy) forward(from, to net.Conn, held mode) {
 	defer p.closeConns(from, to)
 	chunk := make([]byte, 32<<10)
--- a/internal/standin/pool/transport.go
+++ b/internal/standin/pool/transport.go
@@ -54,7 +54,7 @@
 
 // Faults are the faults that a transport injects.
 type Faults struct {
-	Unreachable map[string]bool // ids of targets that never answer
+	Unreachable map[string]bool // ids of targets that get no order and give no answer
 	LostAnswers float64         // share of the orders that are executed and not answered
 	LateOrders  float64         // share of the orders that are not answered and executed LateBy later
 	LateBy      time.Duration
@@ -70,7 +70,7 @@
 	polls  int
 }
 
-// NewTransport returns a transport without faults. rnd is used under its lock.
+// NewTransport returns a transport without faults. rnd is used under the transport's lock.
 func NewTransport(s *Shared, delay time.Duration, rnd *rand.Rand) *Transport {
 	return &Transport{shared: s, delay: delay, rnd: rnd}
 }
