--- a/internal/host/scheduler/freshness_test.go
+++ b/internal/host/scheduler/freshness_test.go
@@ -34,7 +34,7 @@
 		is.Equal(took(t.Context()), time.Duration(0))
 
 		time.Sleep(3 * time.Second)
-		is.Equal(took(t.Context()), maxConfirmWait) // the store does not answer; the configuration in force is used
+		is.Equal(took(t.Context()), maxConfirmWait) // no answer: served by the old configuration
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
 		is.Equal(took(ctx), 10*time.Millisecond) // the client gave up
