--- a/internal/work/dispatch/attempts.go
+++ b/internal/work/dispatch/attempts.go
@@ -9,7 +9,7 @@
 // zero value is that of a task that was never started.
 type attempts struct {
 	failed         []int                // numbers of the failed runs
-	avoidedTargets map[string]time.Time // targets to avoid, and when a run failed there; zero: it was only moved away
+	avoidedTargets map[string]time.Time // targets to avoid, and when a run failed there; zero: it only stalled, was slow or had to move
 	uncertain      map[int]time.Time    // runs that ended with unknown outcome, and until when it may still be reported
 	earlyFailureAt time.Time            // last failure so early that it is evidence against the target; zero: none
 }
@@ -81,9 +81,9 @@
 	// went well. It is shorter than faults of targets last, and about as long as a run
 	// takes, so that a busy target stays proven.
 	provenTime = 4 * time.Second
-	// lastAttemptWait is how long a last attempt waits for a target on which a run has
-	// gone well that began since the task failed early. Each target that got work has
-	// reported by then: a poll takes two seconds at most.
+	// lastAttemptWait is how long after an early failure a last attempt waits for a target
+	// to be proven: a run that began there since then has gone well. Each target that got
+	// work has reported by the end of the wait, since a poll takes two seconds at most.
 	lastAttemptWait = maxPollWait + 200*time.Millisecond
 )
 
@@ -94,8 +94,8 @@
 
 // excludes reports whether a task must not run on a target yet. On a target where it
 // failed a moment ago it would probably fail again. When several targets begin to fail
-// their runs, the others among them are not known yet: so a last attempt waits for a
-// target that has been proven since.
+// their runs, it is not known at first which others do, too: so a last attempt waits for
+// a target that has been proven since.
 func (x *task) excludes(t *target, now time.Time) bool {
 	a := x.attempts()
 	if failed := a.avoidedTargets[t.ID]; !failed.IsZero() && now.Sub(failed) < excludeTime && !t.health.ProvenSince(failed) {
--- a/internal/work/dispatch/command.go
+++ b/internal/work/dispatch/command.go
@@ -35,7 +35,7 @@
 type Poll struct {
 	Target order.Address
 	Order  order.Poll
-	Class  limiter.Class // class in which it queues; not used if it waits for an end
+	Class  limiter.Class // class in which it queues; not used by a poll that waits for an end
 	Extra  bool          // sent while another poll, which may be lost, is outstanding
 	Sent   time.Time     // when the machine issued it
 }
--- a/internal/work/dispatch/ends.go
+++ b/internal/work/dispatch/ends.go
@@ -276,7 +276,7 @@
 
 // adopt adds a run that was not started in this term, or that was believed to have
 // ended. It is stopped if it must not go on: its job is unknown or finished, its task is
-// done or runs elsewhere, or its step is not due.
+// done or runs elsewhere, or an earlier step is not done.
 func (m *Machine) adopt(t *target, reported order.Running, now time.Time) *run {
 	r := &run{Run: reported.Run, target: t, phase: running, placedAt: now, beganAt: now, orderAnsweredAt: now}
 	j := m.jobs[reported.Run.Task.Job]
--- a/internal/work/dispatch/long_running.go
+++ b/internal/work/dispatch/long_running.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// moveLongRunning moves long-running tasks off a draining target, at most as many at a
-// time as may be unavailable of their step. Each is then unavailable for a moment only,
-// instead of from the target's end until that is noticed.
+// moveLongRunning moves long-running tasks off a draining target, at a time no more of a
+// step than may be unavailable. Each is then unavailable for a moment only, instead of
+// from the target's end until that is noticed.
 func (m *Machine) moveLongRunning(t *target, now time.Time) {
 	if !t.Draining {
 		return
--- a/internal/work/dispatch/orders.go
+++ b/internal/work/dispatch/orders.go
@@ -42,8 +42,8 @@
 }
 
 // startRecorded sends the starts of a job's recorded runs that have been saved. Saving
-// may have taken long, so it drops runs whose target accepts no starts or does not
-// answer by now, or may be draining without this leader knowing.
+// may have taken long, so it drops a run, and its gang, if the target no longer accepts
+// starts or no longer answers, or may be draining without this leader knowing.
 func (m *Machine) startRecorded(j *job, now time.Time) {
 	for _, r := range j.sortedLiveRuns() {
 		if r.phase != recorded || r.recordRev > j.savedRev || !j.liveRuns[r] {
@@ -265,8 +265,8 @@
 // only keep the host busy.
 const maxProbes = 4
 
-// retryOrder repeats an order that was not answered, or ends a run whose start has been
-// sent maxStartsSent times.
+// retryOrder repeats an order that was not answered. It ends a run whose start has been
+// sent maxStartsSent times, or whose target accepts no starts any more.
 func (m *Machine) retryOrder(r *run, now time.Time) {
 	if r.orderPending || now.Sub(r.sentAt) < orderRetryInterval || (!r.target.responsive() && r.target.ordersPending() >= maxProbes) {
 		return
--- a/internal/work/dispatch/preemption.go
+++ b/internal/work/dispatch/preemption.go
@@ -10,8 +10,8 @@
 )
 
 // preemptFor preempts work of lower priority for a task of priority 0 on the target where
-// that costs least, and returns the target. It returns nil if preemption frees enough on
-// no target, or if the cost is not allowed yet; then the target is reserved.
+// that costs least, and returns the target. It returns nil if preemption does not free
+// enough on any target, or if the cost is not allowed yet; then the target is reserved.
 func (m *Machine) preemptFor(x *task, now time.Time) *target {
 	s := x.step
 	plan := m.newPreemptionPlan(s, now)
@@ -53,8 +53,8 @@
 }
 
 // preemptForGang preempts work for a gang on the set where that costs least, and returns a
-// target for each of its tasks. It returns nil if preemption frees enough on no set, or if
-// the cost is not allowed yet; then the planned targets are reserved.
+// target for each of its tasks. It returns nil if preemption does not free enough on any
+// set, or if the cost is not allowed yet; then the planned targets are reserved.
 func (m *Machine) preemptForGang(s *step, sets []targetSet, now time.Time) []*target {
 	var best *preemptionPlan
 	for _, set := range sets {
--- a/internal/work/dispatch/schedule.go
+++ b/internal/work/dispatch/schedule.go
@@ -37,8 +37,9 @@
 	return out
 }
 
-// NextDecision returns when Decide is to be called next if no event comes before, and
-// whether it is. It is not while the list of targets or the evacuation status is too old.
+// NextDecision returns when Decide must be called next if no event comes before, and
+// whether it must be called at all without one. It need not be while the list of targets
+// or the evacuation status is too old.
 func (m *Machine) NextDecision(now time.Time) (time.Time, bool) {
 	at := m.nextPassAt
 	if ready := m.placementEnabledAt.Add(reportWait); at.Before(ready) {
--- a/internal/work/dispatch/target.go
+++ b/internal/work/dispatch/target.go
@@ -42,7 +42,7 @@
 	extraPollSentAt  time.Time          // when the last extra poll was sent
 	reportedAt       time.Time          // when it last reported
 	answeredAt       time.Time          // when it last answered any order or poll
-	unansweredSince  time.Time          // when the first order or poll without an answer was sent; zero: none
+	unansweredSince  time.Time          // when the first order or poll without an answer was sent since it last answered; zero: none
 	zoneUnreachable  bool               // its zone seems unreachable, and it has not answered since
 	nextPollAt       time.Time          // earliest time of the next poll
 	reported         bool               // it has reported in this term
