--- a/internal/work/graph/job.go
+++ b/internal/work/graph/job.go
@@ -187,7 +187,7 @@
 	return longest
 }
 
-// Objective returns the time within which the job is to complete, counted from
+// Objective returns the time within which the job earns its full value, counted from
 // its first submission or, if it recurs, from the time at which an occurrence is due.
 func (j *Job) Objective() time.Duration {
 	return time.Duration(j.SlackFactor*float64(j.CriticalPath())) + j.Allowance
--- a/internal/work/progress/progress_test.go
+++ b/internal/work/progress/progress_test.go
@@ -11,7 +11,7 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// Progress that a leader records decodes to the same value for its successor.
+// Progress that a leader records decodes to the same value for the next leader.
 func TestRoundTrip(t *testing.T) {
 	is := is.New(t)
 	j := &progress.Job{State: progress.Running, Started: true, Steps: map[string]*progress.Step{
@@ -51,8 +51,8 @@
 	is.True(len(b) < 100+10*tasks+nameBytes*targets)
 }
 
-// A malformed row, or one with an unknown state, is an error and is not decoded as a
-// job that has not started.
+// A malformed row, or one of another writer whose state is unknown, is an error and is
+// not decoded as a job that has not started.
 func TestDecodeRejectsMalformedRows(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"", "{}", `{"state":"resting"}`, `{"state":7}`, `[1]`, `{"state":"running","steps":{"0.0":{"done":"x"}}}`, `{"state":"running","steps":{"0.0":{"on":{"t":[1]}}}}`} {
