--- a/internal/fleet/health/record.go
+++ b/internal/fleet/health/record.go
@@ -78,7 +78,8 @@
 }
 
 // ObserveFailure records that a run failed on the target after it had worked for part
-// of its expected time. Callers leave out failures that are likely the task's own fault.
+// of its expected time. Callers leave out a failure that is likely the task's own fault,
+// such as a late one of a task that has failed before.
 func (r *Record) ObserveFailure(worked, expected time.Duration, now time.Time) {
 	weight := failureWeight
 	if EarlyFailure(worked, expected) {
--- a/internal/fleet/limiter/limit.go
+++ b/internal/fleet/limiter/limit.go
@@ -8,10 +8,10 @@
 	minLimit = 4
 	// maxLimit is more than a host with a whole core can use.
 	maxLimit = 512
-	// initialLimit lets a gang of common size start at once.
+	// initialLimit is where the limit begins: a gang of common size starts at once.
 	initialLimit = 16
-	// targetQueueDelay is well below the time-out of orders, and above the time a process
-	// waits to be scheduled on a busy host.
+	// targetQueueDelay is how long orders may queue in flight: well below their timeout,
+	// and above the time a process waits to be scheduled on a busy host.
 	targetQueueDelay = 60 * time.Millisecond
 	// limitGain is the growth of the limit over as many answers as it has places, if
 	// none of them queued.
--- a/internal/fleet/limiter/limiter.go
+++ b/internal/fleet/limiter/limiter.go
@@ -14,7 +14,7 @@
 const (
 	Stop        Class = iota // frees capacity and ends runs that must not continue
 	UrgentStart              // starts that a guarantee requires in time
-	Report                   // polls that do not wait for an end
+	Report                   // polls that do not wait for an end: first ones, acknowledgements
 	Start                    // other starts
 	Probe                    // orders to targets that do not answer
 	classes
@@ -25,7 +25,8 @@
 	// targetStartWait is the wait that starts should not exceed: a small part of the time
 	// within which urgent work must start.
 	targetStartWait = 300 * time.Millisecond
-	// minPendingStarts lets starts that are placed together also be saved together.
+	// minPendingStarts is how many starts may be pending in any case, so that starts
+	// placed together are also saved together.
 	minPendingStarts = 32
 	// An order counts against the limit for at most expiryDelays mean delays, but at
 	// least minExpiry. Without that bound, orders to targets that do not answer would
