--- a/internal/host/leader/election_test.go
+++ b/internal/host/leader/election_test.go
@@ -229,10 +229,10 @@
 }
 
 // The store is unavailable for four seconds or longer. The leader is healthy and answers
-// its watchers, but its row does not change in that time. Once the store was back, a watcher
-// that had not read the row for a second took it over, or the leader, whose last write timed
-// out just then, concluded that the store refused only itself, and resigned. The next leader
-// had to restore the state of all running tasks.
+// its watchers, but its row does not change in that time. Once the store is back, a watcher
+// that has not read the row for a second must not take it over, and the leader, whose last
+// write times out just then, must not conclude that the store refuses only itself, and
+// resign. Otherwise the next leader has to restore the state of all running tasks.
 func TestLeaderKeepsTermThroughStoreOutage(t *testing.T) {
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
@@ -308,9 +308,9 @@
 }
 
 // The leader is cut off from the store, another host takes the row over, and the connection
-// is restored while the first one reads back its last write. It found the new row and
-// overwrote it, using the version just read. The next host to take over got a term that was
-// already in use, and two leaders started the same tasks with one fencing token.
+// is restored while the first one reads back its last write. It finds the new row and must
+// not overwrite it, using the version just read: the next host to take over would get a term
+// that is already in use, and two leaders would start the same tasks with one fencing token.
 func TestSupersededLeaderDoesNotOverwriteRow(t *testing.T) {
 	for seed := range uint64(80) {
 		synctest.Test(t, func(t *testing.T) {
@@ -354,8 +354,8 @@
 }
 
 // A leader checks every two seconds for a larger host, and under load the others are slow to
-// answer. The leader did not renew its row in that time, so another small host took it over
-// and failed in the same way.
+// answer. The leader must renew its row meanwhile: otherwise another small host takes it over
+// and fails in the same way.
 func TestSlowCandidateCheckDoesNotDelayRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/host/peer/transport_test.go
+++ b/internal/host/peer/transport_test.go
@@ -96,8 +96,8 @@
 	return method, ctx.Err()
 }
 
-// A leader with thousands of targets had reached its limit of open files. When the next host
-// connected, accept failed, and the process exited, which ended the term.
+// A leader with thousands of targets has reached its limit of open files, so accept fails when
+// the next host connects. The process must not exit for that, which would end the term.
 func TestAcceptErrorsDoNotEndServe(t *testing.T) {
 	withTransport(t, testHandler, func(ctx context.Context, is *is.I, l *testListener, from *peer.Transport) {
 		for range 3 {
@@ -110,8 +110,8 @@
 	})
 }
 
-// A leader with an overloaded CPU answered some calls too late. Each host closed its connection
-// for that, with all other calls on it, and dialed again, which added to the leader's load.
+// A leader with an overloaded CPU answers some calls too late. If each host closed its connection
+// for that, with all other calls on it, and dialed again, the leader's load would grow.
 func TestTimeoutKeepsConnectionInUse(t *testing.T) {
 	withTransport(t, testHandler, func(ctx context.Context, is *is.I, l *testListener, from *peer.Transport) {
 		other := make(chan error, 1)
--- a/internal/host/rpc/endpoint_test.go
+++ b/internal/host/rpc/endpoint_test.go
@@ -167,8 +167,8 @@
 	}
 }
 
-// The leader of a large site sent the list of all 300 hosts to each of them, twice a second:
-// its traffic grew with the square of the number of hosts and saturated its CPU.
+// If the leader of a large site sent the list of all 300 hosts to each of them, twice a second,
+// its traffic would grow with the square of the number of hosts and saturate its CPU.
 func TestWatchersGetLargestHostsOnly(t *testing.T) {
 	withHosts(t, 40, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 2, hosts[0], hosts[1:]...) // the first watch makes the watchers known
@@ -183,9 +183,9 @@
 }
 
 // The store is unavailable to all hosts, and the leader is lost in that time. The leader's
-// last list was empty, since it holds hosts with access to the store only. So the smallest
-// host took over as early as the others when the store was back: it took ten times as long
-// to restore the state, and a larger host replaced it at once.
+// last list is empty, since it holds hosts with access to the store only. If hosts ranked by
+// it, the smallest would take over as early as the others when the store is back, take ten
+// times as long to restore the state, and be replaced by a larger one at once.
 func TestLargerHostsRankFirstAfterOutage(t *testing.T) {
 	withHosts(t, 4, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 2, hosts[0], hosts[1:]...)
@@ -202,8 +202,8 @@
 	})
 }
 
-// Clients poll each host for the number of pending jobs, and each time the host asked the
-// leader. Between two leaders they were refused, although they accept a count that is a
+// Clients poll each host for the number of pending jobs. If the host asked the leader each
+// time, they would be refused between two leaders, although they accept a count that is a
 // second old.
 func TestPendingCountsAreCached(t *testing.T) {
 	withHosts(t, 2, func(ctx context.Context, is *is.I, hosts []*host) {
@@ -293,9 +293,9 @@
 	})
 }
 
-// A zone with the leader in it is cut off. Its hosts reached their leader and reported that
-// they could serve, so all clients of the zone were refused until the cut was over, although
-// hosts of other zones could have served them.
+// A zone with the leader in it is cut off. Its hosts reach their leader. If they reported that
+// they can serve, all clients of the zone would be refused until the cut is over, although
+// hosts of other zones can serve them.
 func TestZoneCutOffWithLeaderCannotServe(t *testing.T) {
 	withHosts(t, 4, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 4, hosts[0], hosts[1:]...)
@@ -366,9 +366,9 @@
 }
 
 // The store is unavailable to the leader and some other hosts. The leader transfers the
-// leadership. The others cannot read the leader row, and watched the old leader until the
-// store was available to them again, so their clients were refused for seconds. The old
-// leader names the new one, and if it is gone, so do hosts that watch the new one.
+// leadership. The others cannot read the leader row. If they watched the old leader until the
+// store is available to them again, their clients would be refused for seconds. So the old
+// leader names the new one, and if it is gone, hosts that watch the new one do.
 func TestHostsWithoutStoreFindNextLeader(t *testing.T) {
 	withHosts(t, 4, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 2, hosts[0], hosts[1:]...)
--- a/internal/host/rpc/relay.go
+++ b/internal/host/rpc/relay.go
@@ -67,8 +67,8 @@
 	return e.relay(ctx, methodCancel, cancelRequest{Job: id, By: by})
 }
 
-// relay has another host write to the store. It tries the next host only if the last one
-// certainly stored nothing.
+// relay has another host write to the store: the leader, or else one with access to the
+// store. It tries the next host only if the last one certainly stored nothing.
 func (e *Endpoint) relay(ctx context.Context, method string, in any) error {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -96,8 +96,8 @@
 // be stored by this host or by a peer that was reached recently. It also holds if the store
 // is unavailable to all hosts: no host could do better than to refuse quickly. A zone that
 // is cut off together with its leader must not be taken for that case, since other zones can
-// serve its clients. Such a cut is detected by the silence of all hosts outside the zone,
-// before the store counts as lost.
+// serve its clients. Such a cut shows by the silence of the store and of all hosts outside
+// the zone, before the store counts as lost.
 func (e *Endpoint) CanServe() bool {
 	if e.storeUp() && time.Since(e.storeAnsweredAt()) < reachableFor {
 		return true
