--- a/internal/host/dispatcher/safety_test.go
+++ b/internal/host/dispatcher/safety_test.go
@@ -83,8 +83,8 @@
 
 func somePartition() int { return dispatch.PartOf(someJob, Partitions) }
 
-// A leader does not know that it was succeeded. Its writes of progress after the successor
-// wrote its fence rows must fail: the successor has read the rows.
+// A leader has been superseded and does not know it. Its writes of progress after the next
+// leader wrote the fence rows must fail: the next leader has read the progress already.
 func TestProgressIsWrittenUnderFence(t *testing.T) {
 	is := is.New(t)
 	table, l, c := newFenced()
--- a/internal/host/entry/entry.go
+++ b/internal/host/entry/entry.go
@@ -122,7 +122,7 @@
 func (e *Entry) storeSlow() bool { return e.store.TypicalLatency() >= slowStoreLatency }
 
 // joinErrors joins the errors of this host and of a peer. The result is ErrNotAccepted
-// only if both are.
+// only if both are: otherwise one of them may have stored the request.
 func joinErrors(own, relayErr error) error {
 	if errors.Is(own, ErrNotAccepted) && !errors.Is(relayErr, ErrNotAccepted) {
 		return fmt.Errorf("%w (this host: %s)", relayErr, own.Error())
--- a/internal/host/entry/entry_test.go
+++ b/internal/host/entry/entry_test.go
@@ -173,7 +173,7 @@
 }
 
 // The store loses the answer to a write that took effect. The submission must not fail
-// with ErrNotAccepted.
+// with ErrNotAccepted, since the job is stored.
 func TestSubmitSettlesLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/host/entry/write.go
+++ b/internal/host/entry/write.go
@@ -14,7 +14,8 @@
 	// minOverdue is the shortest time after which a call without an answer is overdue: ten
 	// times the usual latency.
 	minOverdue = 120 * time.Millisecond
-	// overdueFactor is the same as a multiple of the current latency.
+	// overdueFactor is how many times the current latency a call takes until it is overdue,
+	// if that is longer than minOverdue.
 	overdueFactor = 3
 	// retryDelay is the time between a failed call and the next.
 	retryDelay = 100 * time.Millisecond
