--- a/internal/fleet/health/record.go
+++ b/internal/fleet/health/record.go
@@ -24,7 +24,8 @@
 	// healthyFraction is the share of its expected time after which a run that still
 	// works is evidence that its target is healthy.
 	healthyFraction = 0.1
-	// evidenceHalfLife is short because faults of targets last some seconds.
+	// evidenceHalfLife is the time in which evidence loses half its weight. It is short
+	// because faults of targets last some seconds.
 	evidenceHalfLife = 5 * time.Second
 	// From suspectOdds on a target gets work only if no other has capacity, from
 	// quarantineOdds on none. One early failure quarantines it for 3.5 s.
--- a/internal/host/dispatcher/safety_test.go
+++ b/internal/host/dispatcher/safety_test.go
@@ -121,7 +121,7 @@
 }
 
 // A target takes half a second for a report that it need not wait for, longer than the
-// timeout of a start: TCP retransmits a lost packet after 0.2 s, and again after 0.4 s.
+// timeout of a start: TCP retransmits a lost packet after 0.2 s, and again 0.4 s later.
 // The target must not count as unreachable.
 func TestSlowReportIsAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/work/dispatch/restore_test.go
+++ b/internal/work/dispatch/restore_test.go
@@ -91,9 +91,9 @@
 	is.Equal(state, progress.Failed) // the second failure does count
 }
 
-// The first listed end of a gang completes its job, which is not saved yet. The other
-// member's end must not be acknowledged before that: if the leader is lost and the first
-// target dies, it is the only record that the gang is done.
+// The members of a gang end, as a rule on several targets. The first end that is listed
+// completes the job. The other ends must not be acknowledged before that is saved: if the
+// leader is lost and the first target dies, they are the only record that the gang is done.
 func TestEndIsAcknowledgedAfterSave(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
--- a/internal/work/dispatch/save.go
+++ b/internal/work/dispatch/save.go
@@ -179,7 +179,7 @@
 type StoredRow struct {
 	Job       graph.JobID
 	Version   int64 // of the progress row; 0: there is none
-	Cancelled bool  // the job's cancellation is stored
+	Cancelled bool  // the save would complete the job, but its cancellation is stored
 }
 
 // SaveRefused requeues the rows of a save that did not take effect as a whole or whose
