--- a/internal/fleet/health/record.go
+++ b/internal/fleet/health/record.go
@@ -24,7 +24,8 @@
 	// healthyFraction is the share of its expected time after which a run that still
 	// works is evidence that its target is healthy.
 	healthyFraction = 0.1
-	// evidenceHalfLife is short because faults of targets last some seconds.
+	// evidenceHalfLife is the time in which evidence loses half its weight. It is short
+	// because faults of targets last some seconds.
 	evidenceHalfLife = 5 * time.Second
 	// From suspectOdds on a target gets work only if no other has capacity, from
 	// quarantineOdds on none. One early failure quarantines it for 3.5 s.
@@ -78,7 +79,8 @@
 }
 
 // ObserveFailure records that a run failed on the target after it had worked for part
-// of its expected time. Callers leave out failures that are likely the task's own fault.
+// of its expected time. Callers leave out a failure that is likely the task's own fault,
+// such as a late one of a task that has failed before.
 func (r *Record) ObserveFailure(worked, expected time.Duration, now time.Time) {
 	weight := failureWeight
 	if EarlyFailure(worked, expected) {
