--- a/internal/config/text/parse.go
+++ b/internal/config/text/parse.go
@@ -136,7 +136,7 @@
 	cores := section.Int("cores", 1, 0, 1<<16)
 	memory := section.Int("memory", defaultMemory, 0, 1<<30)
 	adjacency := section.Choice("adjacency", string(shape.Any), string(shape.Any), string(shape.SameRack), string(shape.SameWorker))
-	s, err := shape.NewShape(members, accelerators, cores, memory, shape.Adjacency(adjacency))
+	s, err := shape.New(members, accelerators, cores, memory, shape.Adjacency(adjacency))
 	if err != nil {
 		section.Fault("", err.Error())
 		return shape.Shape{}, false
--- a/internal/fleet/limiter/limiter.go
+++ b/internal/fleet/limiter/limiter.go
@@ -57,8 +57,8 @@
 	ready      chan struct{} // closed when it is admitted
 }
 
-// NewLimiter returns a limiter that measures delays by the clock.
-func NewLimiter(clock func() time.Time) *Limiter {
+// New returns a limiter that measures delays by the clock.
+func New(clock func() time.Time) *Limiter {
 	return &Limiter{clock: clock, limit: newLimit(), rate: rate{perSecond: initialRate}}
 }
 
--- a/internal/fleet/limiter/limiter_test.go
+++ b/internal/fleet/limiter/limiter_test.go
@@ -41,7 +41,7 @@
 func TestClassesInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		l := NewLimiter(time.Now)
+		l := New(time.Now)
 		l.limit.size = 1
 		f, err := l.Acquire(t.Context(), Start)
 		f.timer.Stop() // it does not expire
@@ -63,7 +63,7 @@
 func TestNoClassStarves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		l := NewLimiter(time.Now)
+		l := New(time.Now)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var wg sync.WaitGroup
@@ -93,7 +93,7 @@
 func TestUnansweredOrdersExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		l := NewLimiter(time.Now)
+		l := New(time.Now)
 		unanswered := fill(t, l)
 		began := time.Now()
 		f, err := l.Acquire(t.Context(), Start)
@@ -111,7 +111,7 @@
 func TestCancelWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		l := NewLimiter(time.Now)
+		l := New(time.Now)
 		inFlight := fill(t, l)
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
@@ -136,7 +136,7 @@
 // The number of pending starts follows the throughput but has a minimum.
 func TestMaxPendingStarts(t *testing.T) {
 	is := is.New(t)
-	l := NewLimiter(time.Now)
+	l := New(time.Now)
 	is.Equal(l.MaxPendingStarts(), int(initialRate*targetStartWait.Seconds()))
 	l.rate.perSecond = 10
 	is.Equal(l.MaxPendingStarts(), minPendingStarts)
--- a/internal/fleet/shape/packing_test.go
+++ b/internal/fleet/shape/packing_test.go
@@ -21,7 +21,7 @@
 }
 
 func newShape(t interface{ Fatal(args ...any) }, members, accelerators int, a Adjacency) Shape {
-	s, err := NewShape(members, accelerators, 1, 1024, a)
+	s, err := New(members, accelerators, 1, 1024, a)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/shape/shape.go
+++ b/internal/fleet/shape/shape.go
@@ -38,11 +38,11 @@
 	adjacency    Adjacency
 }
 
-// NewShape returns the shape of a gang of the given number of members, each of which needs
+// New returns the shape of a gang of the given number of members, each of which needs
 // the accelerators, cores and memory in MB. It fails if there are not 1 to MaxMembers
 // members, if a need is negative, if a member needs more than MaxAccelerators, or if the
 // adjacency is unknown. An empty adjacency means Any.
-func NewShape(members, accelerators, cores, memory int, a Adjacency) (Shape, error) {
+func New(members, accelerators, cores, memory int, a Adjacency) (Shape, error) {
 	if a == "" {
 		a = Any
 	}
--- a/internal/fleet/shape/shape_test.go
+++ b/internal/fleet/shape/shape_test.go
@@ -24,7 +24,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := shape.NewShape(c.members, c.accelerators, c.cores, c.memory, c.adjacency)
+			_, err := shape.New(c.members, c.accelerators, c.cores, c.memory, c.adjacency)
 			is.True(err != nil)
 		})
 	}
--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -138,7 +138,7 @@
 	defer cancel()
 	l := &leadership{
 		Dispatcher: d, ctx: ctx, term: t, events: make(chan func(time.Time), maxQueuedEvents), histories: newHistories(d.log),
-		limiter: limiter.NewLimiter(time.Now),
+		limiter: limiter.New(time.Now),
 	}
 	l.machine = dispatch.New(t.Number(), d.bounds, dispatch.WithLog(l.histories))
 	began := l.clock()
--- a/internal/host/dispatcher/safety_test.go
+++ b/internal/host/dispatcher/safety_test.go
@@ -49,7 +49,7 @@
 // clock at now.
 func newLeadership(table store.Store, transport order.Transport, taken, now time.Time) *leadership {
 	d := New(table, transport, nil, dispatch.DefaultBounds(), logr.Discard(), WithClock(func() time.Time { return now }))
-	return &leadership{Dispatcher: d, limiter: limiter.NewLimiter(time.Now), ctx: context.Background(), term: leader.NewTerm(7, taken), events: make(chan func(time.Time), 100)}
+	return &leadership{Dispatcher: d, limiter: limiter.New(time.Now), ctx: context.Background(), term: leader.NewTerm(7, taken), events: make(chan func(time.Time), 100)}
 }
 
 // The leader's process is suspended between a decision and the sending of its order, and
