--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -102,7 +102,7 @@
 
 // New returns a dispatcher that does not lead yet.
 func New(s store.Store, t order.Transport, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
-	b.Parts, b.MaxListAge = Partitions, max(b.DrainTime-startMargin, 3*b.DrainTime/4)
+	b.Partitions, b.MaxListAge = Partitions, max(b.DrainTime-startMargin, 3*b.DrainTime/4)
 	d := &Dispatcher{store: s, transport: t, roster: r, bounds: b, clock: boottime.Now, metrics: tally.NoopScope, onJobEnded: func(dispatch.JobEnded) {}, recovered: func() <-chan struct{} { return nil }, log: log}
 	for _, o := range opts {
 		o(d)
--- a/internal/host/dispatcher/execute.go
+++ b/internal/host/dispatcher/execute.go
@@ -163,19 +163,19 @@
 		case cut:
 			continue
 		case err == nil:
-			l.post(func(now time.Time) { l.machine.Saved(c.Part, res.Version, now) })
+			l.post(func(now time.Time) { l.machine.Saved(c.Partition, res.Version, now) })
 			return
 		case errors.Is(err, store.ErrConflict):
 			l.resolveConflict(c, tx, res.Rows)
 			return
 		case errors.Is(err, store.ErrUnavailable) && attempt == 0:
-			l.log.V(1).Info("progress not saved", "part", c.Part, "rows", len(c.Rows), "error", err.Error())
-			l.post(func(now time.Time) { l.machine.SaveFailed(c.Part, now) })
+			l.log.V(1).Info("progress not saved", "part", c.Partition, "rows", len(c.Rows), "error", err.Error())
+			l.post(func(now time.Time) { l.machine.SaveFailed(c.Partition, now) })
 			return
 		case l.ctx.Err() != nil:
 			return
 		}
-		l.log.V(1).Info("outcome of saving progress unknown", "part", c.Part, "rows", len(c.Rows), "error", err.Error())
+		l.log.V(1).Info("outcome of saving progress unknown", "part", c.Partition, "rows", len(c.Rows), "error", err.Error())
 		sleep(l.ctx, storeRetryDelay)
 	}
 }
@@ -194,13 +194,13 @@
 }
 
 func (l *leadership) transaction(c dispatch.Save) store.Tx {
-	tx := store.Tx{Expect: []store.Expect{{Key: fenceKey(c.Part), Version: l.fences[c.Part]}}}
+	tx := store.Tx{Expect: []store.Expect{{Key: fenceKey(c.Partition), Version: l.fences[c.Partition]}}}
 	for _, r := range c.Rows {
-		k := ProgressKey(c.Part, r.Job)
+		k := ProgressKey(c.Partition, r.Job)
 		tx.Expect = append(tx.Expect, store.Expect{Key: k, Version: r.Version})
 		tx.Put = append(tx.Put, store.Put{Key: k, Value: r.Value})
 		if r.Completes {
-			tx.Expect = append(tx.Expect, store.Expect{Key: CancelKey(c.Part, r.Job)})
+			tx.Expect = append(tx.Expect, store.Expect{Key: CancelKey(c.Partition, r.Job)})
 		}
 	}
 	return tx
@@ -208,17 +208,17 @@
 
 // forget removes the rows of jobs. The machine repeats a command that failed.
 func (l *leadership) forget(c dispatch.Forget) {
-	tx := store.Tx{Expect: []store.Expect{{Key: fenceKey(c.Part), Version: l.fences[c.Part]}}}
+	tx := store.Tx{Expect: []store.Expect{{Key: fenceKey(c.Partition), Version: l.fences[c.Partition]}}}
 	for _, id := range c.Jobs {
-		tx.Remove = append(tx.Remove, JobKey(c.Part, id), CancelKey(c.Part, id), ProgressKey(c.Part, id))
+		tx.Remove = append(tx.Remove, JobKey(c.Partition, id), CancelKey(c.Partition, id), ProgressKey(c.Partition, id))
 	}
 	ctx, cancel := context.WithTimeout(l.ctx, storeTimeout)
 	defer cancel()
 	if _, err := l.store.Commit(ctx, tx); err != nil {
-		l.log.V(1).Info("rows of ended jobs not removed", "part", c.Part, "jobs", len(c.Jobs), "error", err.Error())
+		l.log.V(1).Info("rows of ended jobs not removed", "part", c.Partition, "jobs", len(c.Jobs), "error", err.Error())
 		return
 	}
-	l.log.V(1).Info("rows of ended jobs removed", "part", c.Part, "jobs", len(c.Jobs))
+	l.log.V(1).Info("rows of ended jobs removed", "part", c.Partition, "jobs", len(c.Jobs))
 	l.post(func(time.Time) { l.machine.Forgotten(c) })
 }
 
@@ -229,24 +229,24 @@
 		stored[r.Key] = r
 	}
 	if stored[tx.Expect[0].Key].Version != tx.Expect[0].Version {
-		l.log.Info("deposed", "step", "save", "part", c.Part, "term", l.term.Number())
+		l.log.Info("deposed", "step", "save", "part", c.Partition, "term", l.term.Number())
 		l.post(func(time.Time) { l.machine.Depose() })
 		return
 	}
 	found := make([]dispatch.StoredRow, 0, len(c.Rows))
 	same := true
 	for _, r := range c.Rows {
-		row := stored[ProgressKey(c.Part, r.Job)]
-		_, cancelled := stored[CancelKey(c.Part, r.Job)]
+		row := stored[ProgressKey(c.Partition, r.Job)]
+		_, cancelled := stored[CancelKey(c.Partition, r.Job)]
 		same = same && bytes.Equal(row.Value, r.Value) && row.Version > r.Version
 		found = append(found, dispatch.StoredRow{Job: r.Job, Version: row.Version, Cancelled: cancelled && r.Completes})
 	}
 	if same { // an earlier attempt took effect
-		version := stored[ProgressKey(c.Part, c.Rows[0].Job)].Version
-		l.post(func(now time.Time) { l.machine.Saved(c.Part, version, now) })
+		version := stored[ProgressKey(c.Partition, c.Rows[0].Job)].Version
+		l.post(func(now time.Time) { l.machine.Saved(c.Partition, version, now) })
 		return
 	}
-	l.post(func(now time.Time) { l.machine.SaveRefused(c.Part, found, now) })
+	l.post(func(now time.Time) { l.machine.SaveRefused(c.Partition, found, now) })
 }
 
 // scan finds jobs and cancellations whose notification was lost.
--- a/internal/host/dispatcher/narrow_link_test.go
+++ b/internal/host/dispatcher/narrow_link_test.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = r.rows.Commit(t.Context(), store.Tx{Put: []store.Put{{Key: JobKey(dispatch.PartOf(j.ID, Partitions), j.ID), Value: value}}})
+	_, err = r.rows.Commit(t.Context(), store.Tx{Put: []store.Put{{Key: JobKey(dispatch.PartitionOf(j.ID, Partitions), j.ID), Value: value}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/host/dispatcher/recovery_test.go
+++ b/internal/host/dispatcher/recovery_test.go
@@ -121,15 +121,15 @@
 		s := newOutageStore()
 		l := newLeadership(s, &orderCounter{}, time.Now(), time.Now())
 		l.recovered = s.recovered
-		c := dispatch.Save{Part: somePartition(), Rows: []dispatch.SaveRow{{Job: someJob, Value: []byte("{}")}}}
-		l.fences[c.Part] = s.Put(fenceKey(c.Part), []byte("7"))
+		c := dispatch.Save{Partition: somePartition(), Rows: []dispatch.SaveRow{{Job: someJob, Value: []byte("{}")}}}
+		l.fences[c.Partition] = s.Put(fenceKey(c.Partition), []byte("7"))
 		s.setDown(true)
 		go l.save(c)
 		time.Sleep(1500 * time.Millisecond)
 		s.setDown(false)
 		synctest.Wait()
 		is.Equal(len(s.saves()), 1)
-		is.True(s.Get(ProgressKey(c.Part, someJob)).Version > 0)
+		is.True(s.Get(ProgressKey(c.Partition, someJob)).Version > 0)
 	})
 }
 
--- a/internal/host/dispatcher/safety_test.go
+++ b/internal/host/dispatcher/safety_test.go
@@ -76,12 +76,12 @@
 func newFenced() (*rows.Table, *leadership, dispatch.Save) {
 	table := rows.New(0)
 	l := newLeadership(table, &orderCounter{}, time.Unix(1000, 0), time.Unix(1000, 0))
-	c := dispatch.Save{Part: somePartition(), Rows: []dispatch.SaveRow{{Job: someJob, Value: []byte("{}"), Completes: true}}}
-	l.fences[c.Part] = table.Put(fenceKey(c.Part), []byte("7"))
+	c := dispatch.Save{Partition: somePartition(), Rows: []dispatch.SaveRow{{Job: someJob, Value: []byte("{}"), Completes: true}}}
+	l.fences[c.Partition] = table.Put(fenceKey(c.Partition), []byte("7"))
 	return table, l, c
 }
 
-func somePartition() int { return dispatch.PartOf(someJob, Partitions) }
+func somePartition() int { return dispatch.PartitionOf(someJob, Partitions) }
 
 // A leader does not know that it was succeeded. Its writes of progress after the successor
 // wrote its fence rows must fail: the successor has read the rows.
@@ -91,10 +91,10 @@
 	_, err := table.Commit(context.Background(), l.transaction(c))
 	is.NoErr(err)
 	table, l, c = newFenced()
-	table.Put(fenceKey(c.Part), []byte("8"))
+	table.Put(fenceKey(c.Partition), []byte("8"))
 	_, err = table.Commit(context.Background(), l.transaction(c))
 	is.True(err != nil)
-	is.Equal(table.Get(ProgressKey(c.Part, someJob)).Version, int64(0))
+	is.Equal(table.Get(ProgressKey(c.Partition, someJob)).Version, int64(0))
 }
 
 // A client's cancellation of a job is confirmed while the job's last task ends. The job
@@ -102,10 +102,10 @@
 func TestCancelledJobIsNotCompleted(t *testing.T) {
 	is := is.New(t)
 	table, l, c := newFenced()
-	table.Put(CancelKey(c.Part, someJob), []byte("{}"))
+	table.Put(CancelKey(c.Partition, someJob), []byte("{}"))
 	_, err := table.Commit(context.Background(), l.transaction(c))
 	is.True(err != nil)
-	is.Equal(table.Get(ProgressKey(c.Part, someJob)).Version, int64(0))
+	is.Equal(table.Get(ProgressKey(c.Partition, someJob)).Version, int64(0))
 }
 
 // slowReports is a transport whose targets take half a second for a report.
--- a/internal/host/entry/entry.go
+++ b/internal/host/entry/entry.go
@@ -336,4 +336,4 @@
 	return n, nil
 }
 
-func partitionOf(id graph.JobID) int { return dispatch.PartOf(id, dispatcher.Partitions) }
+func partitionOf(id graph.JobID) int { return dispatch.PartitionOf(id, dispatcher.Partitions) }
--- a/internal/host/scheduler/scheduler.go
+++ b/internal/host/scheduler/scheduler.go
@@ -46,7 +46,7 @@
 type Configuration struct {
 	Key    store.Key
 	Decode catalog.Decode
-	// Evacuated returns the availability zone that a row of the same table and part
+	// Evacuated returns the availability zone that a row of the same table and partition
 	// evacuates while it is there; nil: rows do not.
 	Evacuated func(store.Key) (zone string, ok bool)
 }
--- a/internal/standin/site/jobs.go
+++ b/internal/standin/site/jobs.go
@@ -16,7 +16,7 @@
 // runs for its estimate.
 func StoredJobs(t *rows.Table) pool.Lookup {
 	return func(id graph.JobID) (*graph.Job, pool.Behaviour) {
-		row := t.Get(dispatcher.JobKey(dispatch.PartOf(id, dispatcher.Partitions), id))
+		row := t.Get(dispatcher.JobKey(dispatch.PartitionOf(id, dispatcher.Partitions), id))
 		if row.Version == 0 {
 			return nil, pool.Behaviour{}
 		}
--- a/internal/work/dispatch/accept.go
+++ b/internal/work/dispatch/accept.go
@@ -18,7 +18,7 @@
 	if m.jobs[spec.ID] != nil {
 		return
 	}
-	j := newJob(spec, PartOf(spec.ID, m.bounds.Parts), now)
+	j := newJob(spec, PartitionOf(spec.ID, m.bounds.Partitions), now)
 	m.jobs[spec.ID] = j
 	m.updateSmallestTask(spec)
 	m.log.Decided("job", "job", spec.ID, "queue", spec.Queue, "account", spec.Account, "priority", spec.Priority, "steps", len(spec.Steps), "tasks", spec.Tasks(), "objectiveMS", j.objective.Milliseconds(), "accepted", spec.AcceptedAt)
@@ -33,7 +33,7 @@
 	if m.jobs[spec.ID] != nil {
 		return
 	}
-	j := newJob(spec, PartOf(spec.ID, m.bounds.Parts), now)
+	j := newJob(spec, PartitionOf(spec.ID, m.bounds.Partitions), now)
 	j.version, j.cancelled = version, cancelled
 	m.updateSmallestTask(spec)
 	m.jobs[spec.ID] = j
--- a/internal/work/dispatch/advice_test.go
+++ b/internal/work/dispatch/advice_test.go
@@ -43,7 +43,7 @@
 				list = append(list, x)
 			}
 			if save, ok := c.(Save); ok {
-				s.Saved(save.Part, 1, s.now)
+				s.Saved(save.Partition, 1, s.now)
 			}
 		}
 	}
--- a/internal/work/dispatch/backlog_test.go
+++ b/internal/work/dispatch/backlog_test.go
@@ -32,7 +32,7 @@
 			starts = append(starts, c)
 		case Save:
 			d.version++
-			d.m.Saved(c.Part, d.version, d.now)
+			d.m.Saved(c.Partition, d.version, d.now)
 			starts = append(starts, savedStarts(d)...)
 		}
 	}
--- a/internal/work/dispatch/bounds.go
+++ b/internal/work/dispatch/bounds.go
@@ -15,7 +15,7 @@
 	ReclaimTime    time.Duration // time within which guaranteed work must begin
 	Retention      time.Duration // how long clients can query the state of an ended job
 	DrainTime      time.Duration // time after which a draining target gets no work
-	Parts          int           // number of parts over which jobs are spread
+	Partitions     int           // number of partitions over which jobs are spread
 	MaxListAge     time.Duration // greatest age of the list of targets for placement; 0: no limit
 	// EvacuateTime is how long work may still start in a zone after its evacuation; 0: no limit.
 	EvacuateTime time.Duration
@@ -28,7 +28,7 @@
 	return Bounds{
 		Lease: 6 * time.Second, MaxStopTime: 400 * time.Millisecond, GangTimeout: 3 * time.Second,
 		RestoreTime: 100 * time.Millisecond, RemoteSlowdown: 3,
-		ReclaimTime: 2900 * time.Millisecond, DrainTime: 2 * time.Second, EvacuateTime: 5 * time.Second, Retention: 120 * time.Second, Parts: 4,
+		ReclaimTime: 2900 * time.Millisecond, DrainTime: 2 * time.Second, EvacuateTime: 5 * time.Second, Retention: 120 * time.Second, Partitions: 4,
 	}
 }
 
--- a/internal/work/dispatch/command.go
+++ b/internal/work/dispatch/command.go
@@ -49,12 +49,12 @@
 	return failedAt
 }
 
-// Save requests a transaction that writes the progress of jobs of one part. The
+// Save requests a transaction that writes the progress of jobs of one partition. The
 // answer goes to Machine.Saved, Machine.SaveRefused or Machine.SaveFailed. A
-// part has at most one save outstanding.
+// partition has at most one save outstanding.
 type Save struct {
-	Part int
-	Rows []SaveRow // never empty
+	Partition int
+	Rows      []SaveRow // never empty
 }
 
 // SaveRow is the progress of one job.
@@ -68,8 +68,8 @@
 // Forget requests the removal of the rows of jobs that ended longer ago than
 // Bounds.Retention. The answer goes to Machine.Forgotten.
 type Forget struct {
-	Part int
-	Jobs []graph.JobID // never empty
+	Partition int
+	Jobs      []graph.JobID // never empty
 }
 
 // JobEnded reports that a job has ended, other than by cancellation, and that its final
--- a/internal/work/dispatch/job.go
+++ b/internal/work/dispatch/job.go
@@ -11,7 +11,7 @@
 // query.
 type job struct {
 	spec      *graph.Job
-	part      int
+	partition int
 	steps     []*step        // of the open occurrences, in order
 	opened    int            // number of occurrences opened so far
 	stepsLeft int            // open steps that are not done
@@ -82,9 +82,9 @@
 }
 
 // newJob returns a job with no open occurrence.
-func newJob(spec *graph.Job, part int, now time.Time) *job {
+func newJob(spec *graph.Job, partition int, now time.Time) *job {
 	return &job{
-		spec: spec, part: part, state: progress.Queued, published: progress.Queued,
+		spec: spec, partition: partition, state: progress.Queued, published: progress.Queued,
 		liveRuns: map[*run]bool{}, learnedAt: now, objective: spec.Objective(),
 	}
 }
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -24,7 +24,7 @@
 	jobs               map[graph.JobID]*job
 	recurring          []*job  // jobs that recur, in the order of their arrival
 	openSteps          []*step // steps with tasks to start, by rank as of the last pass, new ones last
-	parts              []part
+	partitions         []partition
 	commands           []Command
 	placementEnabled   bool // set by EnablePlacement
 	placementEnabledAt time.Time
@@ -71,7 +71,7 @@
 func New(term int64, b Bounds, opts ...Option) *Machine {
 	m := &Machine{
 		bounds: b, term: term, log: discardLog{}, targets: map[string]*target{}, jobs: map[graph.JobID]*job{},
-		parts: make([]part, b.Parts),
+		partitions: make([]partition, b.Partitions),
 	}
 	for _, o := range opts {
 		o(m)
@@ -79,11 +79,11 @@
 	return m
 }
 
-// PartOf returns the part that holds the rows of a job.
-func PartOf(id graph.JobID, parts int) int {
+// PartitionOf returns the partition that holds the rows of a job.
+func PartitionOf(id graph.JobID, partitions int) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // never fails
-	return int(h.Sum32() % uint32(parts))
+	return int(h.Sum32() % uint32(partitions))
 }
 
 // Term returns the machine's term.
--- a/internal/work/dispatch/restore_test.go
+++ b/internal/work/dispatch/restore_test.go
@@ -44,7 +44,7 @@
 	for _, c := range s.Decide(s.now) {
 		if c, ok := c.(Save); ok {
 			rows = append(rows, c.Rows...)
-			s.Saved(c.Part, 1, s.now)
+			s.Saved(c.Partition, 1, s.now)
 		}
 	}
 	return rows
@@ -57,7 +57,7 @@
 
 // A target lists an end of a job that was completed, then cancelled, to a new leader.
 // Saving the job again under the condition that it was not cancelled would be refused
-// forever, and block the saves of all jobs of its part.
+// forever, and block the saves of all jobs of its partition.
 func TestEndOfCompletedJobIsNotSaved(t *testing.T) {
 	is := is.New(t)
 	s := newFixture()
--- a/internal/work/dispatch/retention.go
+++ b/internal/work/dispatch/retention.go
@@ -26,16 +26,16 @@
 	}
 	m.nextForgetAt = now.Add(forgetInterval)
 	cutoff := now.Add(m.wallOffset - m.bounds.Retention - forgetSlack).UnixMilli()
-	byPart := map[int][]graph.JobID{}
+	byPartition := map[int][]graph.JobID{}
 	for id, j := range m.jobs {
 		if j.published.Final() && j.endedAt < cutoff && len(j.liveRuns) == 0 && !j.dirty && j.savedRev == j.rev {
-			byPart[j.part] = append(byPart[j.part], id)
+			byPartition[j.partition] = append(byPartition[j.partition], id)
 		}
 	}
-	for part := range m.parts {
-		if ids := byPart[part]; len(ids) > 0 {
+	for partition := range m.partitions {
+		if ids := byPartition[partition]; len(ids) > 0 {
 			slices.Sort(ids)
-			m.commands = append(m.commands, Forget{Part: part, Jobs: ids[:min(len(ids), maxForgetJobs)]})
+			m.commands = append(m.commands, Forget{Partition: partition, Jobs: ids[:min(len(ids), maxForgetJobs)]})
 		}
 	}
 }
--- a/internal/work/dispatch/save.go
+++ b/internal/work/dispatch/save.go
@@ -14,8 +14,8 @@
 // and the conditions on cancellation it stays under the store's limit of 100 entries.
 const maxSaveRows = 30
 
-// part tracks what is to be saved of the jobs of one part.
-type part struct {
+// partition tracks what is to be saved of the jobs of one partition.
+type partition struct {
 	dirty   []*job    // to be saved, in the order in which they changed, each once
 	sending []*job    // in the outstanding save; nil: none
 	retryAt time.Time // no save before
@@ -27,21 +27,21 @@
 	j.rev++
 	if !j.dirty {
 		j.dirty = true
-		m.parts[j.part].dirty = append(m.parts[j.part].dirty, j)
+		m.partitions[j.partition].dirty = append(m.partitions[j.partition].dirty, j)
 	}
 	return j.rev
 }
 
-// sendSaves issues a save for each part that has dirty jobs and no outstanding save.
+// sendSaves issues a save for each partition that has dirty jobs and no outstanding save.
 func (m *Machine) sendSaves(now time.Time) {
-	for i := range m.parts {
-		p := &m.parts[i]
+	for i := range m.partitions {
+		p := &m.partitions[i]
 		if p.sending != nil || len(p.dirty) == 0 || now.Before(p.retryAt) {
 			continue
 		}
 		n := min(len(p.dirty), maxSaveRows)
 		p.sending, p.dirty = slices.Clone(p.dirty[:n]), slices.Delete(p.dirty, 0, n)
-		save := Save{Part: i}
+		save := Save{Partition: i}
 		for _, j := range p.sending {
 			j.dirty, j.sentRev, j.sentState = false, j.rev, j.state
 			save.Rows = append(save.Rows, j.row())
@@ -125,10 +125,10 @@
 	return m
 }
 
-// Saved records that the outstanding save of a part took effect and gave its rows the
-// version. It publishes the saved states and sends the starts that waited for the save.
-func (m *Machine) Saved(partIndex int, version int64, now time.Time) {
-	p := &m.parts[partIndex]
+// Saved records that the outstanding save of a partition took effect and gave its rows
+// the version. It publishes the saved states and sends the starts that waited for the save.
+func (m *Machine) Saved(partition int, version int64, now time.Time) {
+	p := &m.partitions[partition]
 	for _, j := range p.sending {
 		j.version, j.savedRev = version, j.sentRev
 		m.publish(j, j.sentState)
@@ -166,10 +166,10 @@
 	m.commands = append(m.commands, JobEnded{Job: j.spec, State: s, Took: max(took, 0)})
 }
 
-// SaveFailed requeues the rows of the outstanding save of a part when the store could not
-// be reached or the outcome is not known yet.
-func (m *Machine) SaveFailed(partIndex int, now time.Time) {
-	p := &m.parts[partIndex]
+// SaveFailed requeues the rows of the outstanding save of a partition when the store could
+// not be reached or the outcome is not known yet.
+func (m *Machine) SaveFailed(partition int, now time.Time) {
+	p := &m.partitions[partition]
 	p.retryAt = now.Add(saveRetryPause)
 	m.requeue(p)
 }
@@ -185,9 +185,9 @@
 // SaveRefused requeues the rows of a save that did not take effect as a whole or whose
 // answer was lost; stored tells which rows are there. The next save overwrites them: only
 // this term's leader writes them, so what is there is older.
-func (m *Machine) SaveRefused(partIndex int, stored []StoredRow, now time.Time) {
-	m.log.Decided("progress save refused", "part", partIndex, "rows", len(stored))
-	m.parts[partIndex].retryAt = now.Add(saveRetryPause / 10)
+func (m *Machine) SaveRefused(partition int, stored []StoredRow, now time.Time) {
+	m.log.Decided("progress save refused", "part", partition, "rows", len(stored))
+	m.partitions[partition].retryAt = now.Add(saveRetryPause / 10)
 	for _, row := range stored {
 		j := m.jobs[row.Job]
 		if j == nil {
@@ -198,11 +198,11 @@
 			m.cancel(j, now)
 		}
 	}
-	m.requeue(&m.parts[partIndex])
+	m.requeue(&m.partitions[partition])
 }
 
 // requeue puts the jobs of the outstanding save before the other dirty jobs.
-func (m *Machine) requeue(p *part) {
+func (m *Machine) requeue(p *partition) {
 	jobs := p.sending
 	for _, j := range p.dirty {
 		if !slices.Contains(jobs, j) {
--- a/internal/work/dispatch/simulation_test.go
+++ b/internal/work/dispatch/simulation_test.go
@@ -165,7 +165,7 @@
 	case Save:
 		d.after(max(saveTime, d.slowSaveTime), func() {
 			d.version++
-			d.m.Saved(c.Part, d.version, d.now)
+			d.m.Saved(c.Partition, d.version, d.now)
 		})
 	}
 }
