--- a/internal/host/api/jobs.go
+++ b/internal/host/api/jobs.go
@@ -94,7 +94,7 @@
 // await returns what is told of a job, once it has ended or the time is over.
 func (a *API) await(ctx context.Context, id graph.JobID, by entry.Caller, until time.Time) (view.JobStatus, error) {
 	for look := firstLook; ; look = min(2*look, lastLook) {
-		told, err := a.scheduler.Entry().State(ctx, id, by)
+		told, err := a.scheduler.Entry().Status(ctx, id, by)
 		left := time.Until(until)
 		if errors.Is(err, entry.ErrNoJob) || err == nil && told.State.Final() || left <= 0 {
 			return told, err
--- a/internal/host/api/views.go
+++ b/internal/host/api/views.go
@@ -65,7 +65,7 @@
 // a moment ago is stored before the leader hears of it: it has no story yet, and is
 // not to be denied.
 func (v Views) storedStory(w http.ResponseWriter, r *http.Request, id graph.JobID, by entry.Caller) {
-	told, err := v.scheduler.Entry().State(r.Context(), id, by)
+	told, err := v.scheduler.Entry().Status(r.Context(), id, by)
 	if err != nil {
 		notTold(w, id, err)
 		return
--- a/internal/host/dispatcher/requests.go
+++ b/internal/host/dispatcher/requests.go
@@ -21,7 +21,7 @@
 
 // State returns the status that clients may see of a job, and whether the leader knows
 // the job.
-func (d *Dispatcher) State(ctx context.Context, id graph.JobID) (status view.JobStatus, known bool, err error) {
+func (d *Dispatcher) Status(ctx context.Context, id graph.JobID) (status view.JobStatus, known bool, err error) {
 	err = d.onLoop(ctx, func(m *dispatch.Machine, _ time.Time) { status, known = m.Status(id) })
 	return status, known, err
 }
--- a/internal/host/entry/entry.go
+++ b/internal/host/entry/entry.go
@@ -53,7 +53,7 @@
 type Leader interface {
 	Submitted(ctx context.Context, j *graph.Job) error
 	Cancelled(ctx context.Context, id graph.JobID) error
-	State(ctx context.Context, id graph.JobID) (status view.JobStatus, known bool, err error)
+	Status(ctx context.Context, id graph.JobID) (status view.JobStatus, known bool, err error)
 	Pending(ctx context.Context, queue string) (int, error)
 }
 
@@ -254,18 +254,18 @@
 	return job, cancelled, nil
 }
 
-// State returns the status of a job as the leader knows it, or else as it is stored. The
+// Status returns the status of a job as the leader knows it, or else as it is stored. The
 // error wraps ErrNoJob, also for a job that the caller may not access, or ErrUnavailable.
-func (e *Entry) State(ctx context.Context, id graph.JobID, by Caller) (view.JobStatus, error) {
-	status, err := e.lookUpState(ctx, id)
+func (e *Entry) Status(ctx context.Context, id graph.JobID, by Caller) (view.JobStatus, error) {
+	status, err := e.lookUpStatus(ctx, id)
 	if err == nil && !by.MayAccess(status.Account) {
 		return view.JobStatus{}, ErrNoJob
 	}
 	return status, err
 }
 
-func (e *Entry) lookUpState(ctx context.Context, id graph.JobID) (view.JobStatus, error) {
-	status, known, leaderErr := e.leader.State(ctx, id)
+func (e *Entry) lookUpStatus(ctx context.Context, id graph.JobID) (view.JobStatus, error) {
+	status, known, leaderErr := e.leader.Status(ctx, id)
 	if leaderErr == nil && known {
 		return status, nil
 	}
@@ -275,7 +275,7 @@
 	if !e.store.Up() {
 		return view.JobStatus{}, fmt.Errorf("%w: %w (leader: %w)", ErrUnavailable, errStoreDown, leaderErr)
 	}
-	status, err := e.storedState(ctx, id)
+	status, err := e.storedStatus(ctx, id)
 	if err != nil && !errors.Is(err, ErrNoJob) {
 		return view.JobStatus{}, fmt.Errorf("%w: %w (leader: %w)", ErrUnavailable, err, leaderErr)
 	}
@@ -285,8 +285,8 @@
 // errLeaderUnknownJob stands for the answer of a leader that does not know the job.
 var errLeaderUnknownJob = errors.New("it does not know the job")
 
-// storedState returns the status of a job by its rows.
-func (e *Entry) storedState(ctx context.Context, id graph.JobID) (view.JobStatus, error) {
+// storedStatus returns the status of a job by its rows.
+func (e *Entry) storedStatus(ctx context.Context, id graph.JobID) (view.JobStatus, error) {
 	row, cancelled, err := e.readJob(ctx, id)
 	if err != nil {
 		return view.JobStatus{}, err
--- a/internal/host/entry/entry_test.go
+++ b/internal/host/entry/entry_test.go
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func (l *fakeLeader) State(_ context.Context, id graph.JobID) (view.JobStatus, bool, error) {
+func (l *fakeLeader) Status(_ context.Context, id graph.JobID) (view.JobStatus, bool, error) {
 	if l.unreachable {
 		return view.JobStatus{}, false, errNoLeader
 	}
@@ -147,7 +147,7 @@
 		began := time.Now()
 		is.NoErr(r.entry.Cancel(ctx, someJob, kiosks))
 		is.True(time.Since(began) < cancelNotifyWait+10*storeLatency)
-		status, err := r.entry.State(ctx, someJob, kiosks)
+		status, err := r.entry.Status(ctx, someJob, kiosks)
 		is.NoErr(err)
 		is.Equal(status.State, progress.Cancelled)
 		time.Sleep(notifyTimeout) // the notification is given up
@@ -161,13 +161,13 @@
 		is := is.New(t)
 		r := newRig(nil)
 		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
-		_, err := r.entry.State(ctx, someJob, Caller{Account: "salons"})
+		_, err := r.entry.Status(ctx, someJob, Caller{Account: "salons"})
 		is.True(errors.Is(err, ErrNoJob))
 		is.True(errors.Is(r.entry.Cancel(ctx, someJob, Caller{Account: "salons"}), ErrNoJob))
-		status, err := r.entry.State(ctx, someJob, Caller{Operator: true})
+		status, err := r.entry.Status(ctx, someJob, Caller{Operator: true})
 		is.NoErr(err)
 		is.Equal(status.State, progress.Queued)
-		_, err = r.entry.State(ctx, "00000000000000bb", kiosks)
+		_, err = r.entry.Status(ctx, "00000000000000bb", kiosks)
 		is.True(errors.Is(err, ErrNoJob))
 	})
 }
@@ -187,12 +187,12 @@
 
 // The leader does not know a job, and the store is unavailable. The error that operators
 // read names both.
-func TestStateErrorNamesBothCauses(t *testing.T) {
+func TestStatusErrorNamesBothCauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(ErrNotAccepted)
 		r.link.SetFaults(rows.Faults{Refuse: true})
-		_, err := r.entry.State(ctx, someJob, kiosks)
+		_, err := r.entry.Status(ctx, someJob, kiosks)
 		is.True(errors.Is(err, ErrUnavailable))
 		is.True(strings.Contains(err.Error(), errLeaderUnknownJob.Error()))
 		is.True(!strings.Contains(err.Error(), "%!"))
--- a/internal/host/rpc/endpoint.go
+++ b/internal/host/rpc/endpoint.go
@@ -25,7 +25,7 @@
 	methodTransfer  = "succeed"
 	methodSubmitted = "submitted"
 	methodCancelled = "cancelled"
-	methodState     = "state"
+	methodStatus    = "state"
 	methodPending   = "pending"
 	methodCatalog   = "catalog"
 	methodSubmit    = "submit"
@@ -79,7 +79,7 @@
 type Dispatcher interface {
 	Submitted(ctx context.Context, j *graph.Job) error
 	Cancelled(ctx context.Context, id graph.JobID) error
-	State(ctx context.Context, id graph.JobID) (status view.JobStatus, known bool, err error)
+	Status(ctx context.Context, id graph.JobID) (status view.JobStatus, known bool, err error)
 	Pending(ctx context.Context, queue string) (int, error)
 	Jobs(ctx context.Context, account string) ([]view.Job, error)
 	History(ctx context.Context, id graph.JobID) (history view.History, known bool, err error)
@@ -169,8 +169,8 @@
 		return decodeAndCall(params, func(in graph.Job) (any, error) { return nil, e.dispatcher.Submitted(ctx, &in) })
 	case methodCancelled:
 		return decodeAndCall(params, func(in graph.JobID) (any, error) { return nil, e.dispatcher.Cancelled(ctx, in) })
-	case methodState:
-		return decodeAndCall(params, func(in graph.JobID) (any, error) { return e.localState(ctx, in) })
+	case methodStatus:
+		return decodeAndCall(params, func(in graph.JobID) (any, error) { return e.localStatus(ctx, in) })
 	case methodPending:
 		return decodeAndCall(params, func(in string) (any, error) { return e.dispatcher.Pending(ctx, in) })
 	case methodCatalog:
--- a/internal/host/rpc/endpoint_test.go
+++ b/internal/host/rpc/endpoint_test.go
@@ -45,7 +45,7 @@
 
 func (d *testDispatcher) Fleet(context.Context) (view.Fleet, error)        { return view.Fleet{}, d.err() }
 func (d *testDispatcher) Jobs(context.Context, string) ([]view.Job, error) { return nil, d.err() }
-func (d *testDispatcher) State(context.Context, graph.JobID) (view.JobStatus, bool, error) {
+func (d *testDispatcher) Status(context.Context, graph.JobID) (view.JobStatus, bool, error) {
 	return view.JobStatus{Queue: "refill"}, true, d.err()
 }
 
@@ -397,17 +397,17 @@
 
 // A host asks the leader for the state of a job, or itself if it leads. Without a leader it
 // fails at once.
-func TestStateIsAskedOfLeader(t *testing.T) {
+func TestStatusIsAskedOfLeader(t *testing.T) {
 	withHosts(t, 2, func(ctx context.Context, is *is.I, hosts []*host) {
 		for _, h := range hosts {
-			status, known, err := h.State(ctx, "0123456789abcdef")
+			status, known, err := h.Status(ctx, "0123456789abcdef")
 			is.NoErr(err)
 			is.True(known)
 			is.Equal(status.Queue, "refill")
 		}
 		is.Equal(hosts[0].dispatcher.calls, 2)
 		hosts[1].election.row = leader.Row{}
-		_, _, err := hosts[1].State(ctx, "0123456789abcdef")
+		_, _, err := hosts[1].Status(ctx, "0123456789abcdef")
 		is.True(errors.Is(err, dispatcher.ErrNotLeading))
 	})
 }
--- a/internal/host/rpc/leadercall.go
+++ b/internal/host/rpc/leadercall.go
@@ -8,8 +8,8 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// stateReply is the leader's answer about the state of a job.
-type stateReply struct {
+// statusReply is the leader's answer about the status of a job.
+type statusReply struct {
 	Status view.JobStatus `json:"told"`
 	Known  bool           `json:"known"`
 }
@@ -46,13 +46,13 @@
 	return err
 }
 
-// State asks the leader for the state of a job, and whether it knows the job.
-func (e *Endpoint) State(ctx context.Context, id graph.JobID) (view.JobStatus, bool, error) {
-	out, err := callLeader(ctx, e, methodState, id, func() (stateReply, error) { return e.localState(ctx, id) })
+// Status asks the leader for the status of a job, and whether it knows the job.
+func (e *Endpoint) Status(ctx context.Context, id graph.JobID) (view.JobStatus, bool, error) {
+	out, err := callLeader(ctx, e, methodStatus, id, func() (statusReply, error) { return e.localStatus(ctx, id) })
 	return out.Status, out.Known, err
 }
 
-func (e *Endpoint) localState(ctx context.Context, id graph.JobID) (stateReply, error) {
-	status, known, err := e.dispatcher.State(ctx, id)
-	return stateReply{Status: status, Known: known}, err
+func (e *Endpoint) localStatus(ctx context.Context, id graph.JobID) (statusReply, error) {
+	status, known, err := e.dispatcher.Status(ctx, id)
+	return statusReply{Status: status, Known: known}, err
 }
--- a/internal/proof/deployment/relay_test.go
+++ b/internal/proof/deployment/relay_test.go
@@ -46,7 +46,7 @@
 				is.True(time.Since(began) < 500*time.Millisecond)
 				time.Sleep(time.Second)
 				mine := entry.Caller{Account: j.Account}
-				told, err := h.entry.State(ctx, j.ID, mine)
+				told, err := h.entry.Status(ctx, j.ID, mine)
 				is.NoErr(err)
 				is.Equal(told.State, progress.Running)
 				is.NoErr(h.entry.Cancel(ctx, j.ID, mine))
--- a/internal/proof/deployment/rig_test.go
+++ b/internal/proof/deployment/rig_test.go
@@ -278,7 +278,7 @@
 func (r *rig) state(s *submission) (progress.State, error) {
 	ctx, cancel := context.WithTimeout(r.ctx, 3*time.Second)
 	defer cancel()
-	told, err := r.live().entry.State(ctx, s.job.ID, entry.Caller{Account: s.job.Account})
+	told, err := r.live().entry.Status(ctx, s.job.ID, entry.Caller{Account: s.job.Account})
 	return told.State, err
 }
 
--- a/internal/work/dispatch/query.go
+++ b/internal/work/dispatch/query.go
@@ -16,11 +16,11 @@
 	if j == nil {
 		return "", false
 	}
-	return j.status(), true
+	return j.visibleState(), true
 }
 
-// status returns the state that clients may see.
-func (j *job) status() progress.State {
+// visibleState returns the state that clients may see.
+func (j *job) visibleState() progress.State {
 	if !j.published.Final() && j.started {
 		return progress.Running
 	}
@@ -33,7 +33,7 @@
 	if j == nil {
 		return view.JobStatus{}, false
 	}
-	return view.JobStatus{State: j.status(), Queue: j.spec.Queue, Account: j.spec.Account}, true
+	return view.JobStatus{State: j.visibleState(), Queue: j.spec.Queue, Account: j.spec.Account}, true
 }
 
 // Pending returns the number of a queue's accepted jobs that have not started.
@@ -73,7 +73,7 @@
 
 func (j *job) view() view.Job {
 	v := view.Job{
-		ID: j.spec.ID, Queue: j.spec.Queue, Account: j.spec.Account, Priority: j.spec.Priority, State: j.status(),
+		ID: j.spec.ID, Queue: j.spec.Queue, Account: j.spec.Account, Priority: j.spec.Priority, State: j.visibleState(),
 		Accepted: time.UnixMilli(j.spec.AcceptedAt).UTC(), Runs: len(j.liveRuns),
 	}
 	if j.endedAt != 0 {
