--- a/internal/work/dispatch/at_most_once_test.go
+++ b/internal/work/dispatch/at_most_once_test.go
@@ -68,7 +68,7 @@
 }
 
 // A job with a latest start is given up if nothing of it has started by then, and its
-// client is told that it did not run.
+// client sees that it did not run.
 func TestUnstartedJobExpires(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 1, DefaultBounds())
--- a/internal/work/dispatch/attempts.go
+++ b/internal/work/dispatch/attempts.go
@@ -74,16 +74,16 @@
 // Rules for where a task may spend its next attempt.
 const (
 	// excludeTime is how long a task is kept from a target on which it failed, unless a
-	// run that began there since has gone well. Faults of targets pass within some
+	// run that began there since has succeeded. Faults of targets pass within some
 	// seconds, and a task that no other target can take must run eventually.
 	excludeTime = 15 * time.Second
 	// provenTime is how long a target counts as healthy after the start of a run that
-	// went well. It is shorter than faults of targets last, and about as long as a run
+	// succeeded. It is shorter than faults of targets last, and about as long as a run
 	// takes, so that a busy target stays proven.
 	provenTime = 4 * time.Second
-	// lastAttemptWait is how long a last attempt waits for a target on which a run has
-	// gone well that began since the task failed early. Each target that got work has
-	// reported by then: a poll takes two seconds at most.
+	// lastAttemptWait is how long a last attempt waits for a target on which a run that
+	// began after the early failure of the task has succeeded. Each target that got work
+	// has reported by then: a poll takes two seconds at most.
 	lastAttemptWait = maxPollWait + 200*time.Millisecond
 )
 
@@ -93,9 +93,9 @@
 }
 
 // excludes reports whether a task must not run on a target yet. On a target where it
-// failed a moment ago it would probably fail again. When several targets begin to fail
-// their runs, the others among them are not known yet: so a last attempt waits for a
-// target that has been proven since.
+// has just failed it would probably fail again. When several targets begin to fail their
+// runs, the others among them are not known yet, so a last attempt waits for a target
+// that has been proven since.
 func (x *task) excludes(t *target, now time.Time) bool {
 	a := x.attempts()
 	if failed := a.avoidedTargets[t.ID]; !failed.IsZero() && now.Sub(failed) < excludeTime && !t.health.ProvenSince(failed) {
--- a/internal/work/dispatch/evacuation.go
+++ b/internal/work/dispatch/evacuation.go
@@ -69,8 +69,8 @@
 }
 
 // evacuationsAreCurrent reports whether the evacuation status is recent enough to start
-// anything. A leader that receives no updates must not start work in a zone that was
-// evacuated meanwhile.
+// anything. A leader that receives no updates must not start work in a zone that may
+// have been evacuated since the last one.
 func (m *Machine) evacuationsAreCurrent(now time.Time) bool {
 	return m.bounds.MaxEvacuationAge == 0 || now.Sub(m.evacuated.AsOf) <= m.bounds.MaxEvacuationAge
 }
--- a/internal/work/dispatch/evacuation_test.go
+++ b/internal/work/dispatch/evacuation_test.go
@@ -41,7 +41,7 @@
 }
 
 // A zone is evacuated, restored and evacuated again while work comes: nothing starts
-// there while it is evacuated, and runs there end by themselves.
+// there while it is evacuated, and runs there continue to their ends.
 func TestNothingStartsInEvacuatedZone(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 3, 2, DefaultBounds())
@@ -143,8 +143,8 @@
 }
 
 // A leader has received no evacuation status for as long as an evacuation may take to be
-// in force, so a zone may have been evacuated meanwhile: it starts nothing until it
-// receives one.
+// in force, so a zone may have been evacuated since: it starts nothing until it receives
+// one.
 func TestNothingStartsOnStaleEvacuationStatus(t *testing.T) {
 	is := is.New(t)
 	b := DefaultBounds()
--- a/internal/work/dispatch/gang_end.go
+++ b/internal/work/dispatch/gang_end.go
@@ -30,8 +30,8 @@
 
 // releaseFirstEnded releases a gang's members on an unreachable target if the member that
 // ended first must be among them, because all others ended as a consequence of another's
-// end. The members beside it ended with it, as their target knows of both. Without this
-// the gang would wait until the leases have lapsed on a target that lost power, or, under
+// end. The members beside it ended with it, as their target knows of both. Otherwise the
+// gang would wait until the leases have lapsed on a target that lost power, or, under
 // a new leader, until those of its predecessor have. The member may have failed, which
 // the target reports when it answers again: the run counts as an attempt until its leases
 // have lapsed. A run that may have been the last attempt is not released, and stays
--- a/internal/work/dispatch/gang_end_test.go
+++ b/internal/work/dispatch/gang_end_test.go
@@ -42,7 +42,7 @@
 
 // A target with two members of a gang loses power; the others list that they ended because
 // another one had. If the gang waited for the leases, it would begin again only after ten
-// seconds, and after twice as long if the leader changed meanwhile.
+// seconds, and after twice as long if the leader changed during that time.
 func TestGangWithTwoMembersOnDeadTargetRestartsEarly(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 6, DefaultBounds())
--- a/internal/work/dispatch/health.go
+++ b/internal/work/dispatch/health.go
@@ -9,11 +9,11 @@
 // A target may fail every run that it starts, and each failure costs a task one of its
 // few attempts. A target that fails them within 40 ms would end any number of jobs in a
 // second if it got work whenever it is free. So a target that was quarantined gets one
-// run at a time, until one that began after the quarantine has gone well.
+// run at a time, until one that began after the quarantine has succeeded.
 
-// timeWorked returns how long a run has worked, as far as is known: a gang works once all
+// timeWorked returns how long a run is known to have worked: a gang works once all
 // its members have begun, and a run that resumes once its checkpoint is restored. For a
-// run of which nothing is known it returns unknownWork.
+// run that was not reported as begun it returns unknownWork.
 func (m *Machine) timeWorked(r *run, now time.Time) time.Duration {
 	if r == nil || r.beganAt.IsZero() {
 		return unknownWork
@@ -35,7 +35,7 @@
 	return max(worked, 0)
 }
 
-// unknownWork is the time worked that is assumed for a run of which nothing is known: its
+// unknownWork is the time worked that is assumed for a run that was not reported as begun: its
 // failure must not count as early.
 const unknownWork = 1<<63 - 1
 
--- a/internal/work/dispatch/health_test.go
+++ b/internal/work/dispatch/health_test.go
@@ -72,7 +72,7 @@
 }
 
 // A target fails all that it starts, but continues the runs that it had started before.
-// Those that end well meanwhile must not make it appear healthy.
+// Those that succeed must not make it appear healthy.
 func TestOldRunsAreNoEvidenceOfHealth(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
@@ -95,7 +95,7 @@
 }
 
 // A target that was quarantined is healthy again. It gets one run at a time until one has
-// gone well, and then as many as it has capacity for.
+// succeeded, and then as many as it has capacity for.
 func TestProbationAllowsOneRun(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 1, DefaultBounds())
@@ -161,8 +161,8 @@
 }
 
 // A task has failed once and has one attempt left. It waits a while for a target on which
-// a run goes well that began since. Then it goes to a target on which a run went well a
-// moment ago, though a target without evidence fits it better.
+// a run that began since succeeds. Then it is placed on a target on which a run succeeded
+// shortly before the failure, though a target without evidence fits it better.
 func TestLastAttemptPrefersProvenTarget(t *testing.T) {
 	is := is.New(t)
 	d, x := newLastAttempt(t)
@@ -177,8 +177,8 @@
 	d.check()
 }
 
-// As above, but a run that began after the failure goes well on a target meanwhile: the
-// task does not wait any longer.
+// As above, but a run that began after the failure succeeds on a target: the task does
+// not wait any longer.
 func TestLastAttemptUsesNewlyProvenTarget(t *testing.T) {
 	is := is.New(t)
 	d, x := newLastAttempt(t)
--- a/internal/work/dispatch/listing_test.go
+++ b/internal/work/dispatch/listing_test.go
@@ -16,7 +16,7 @@
 }
 
 // The store answers a leader slowly, or the leader is overloaded, so it has not read the
-// list of targets for seconds, and a target begins to drain meanwhile. Nothing is started
+// list of targets for seconds, and a target has begun to drain since. Nothing is started
 // on a stale list, and placement continues with the next one.
 func TestNothingIsPlacedOnStaleTargetList(t *testing.T) {
 	is := is.New(t)
@@ -90,7 +90,7 @@
 	d.check()
 }
 
-// As above, but another task of the job was recorded a moment ago: that save does not
+// As above, but another task of the job was recorded just before: that save does not
 // cover a start that was decided later.
 func TestStartWaitsForItsOwnSave(t *testing.T) {
 	is := is.New(t)
--- a/internal/work/dispatch/load_test.go
+++ b/internal/work/dispatch/load_test.go
@@ -13,7 +13,7 @@
 	*simulation
 	rnd         *rand.Rand
 	rate        float64 // jobs per second, of all kinds
-	widthFactor float64 // width of steps relative to today's
+	widthFactor float64 // width of steps relative to the current load
 }
 
 // gangAccelerators are the numbers of accelerators that members of gangs need.
--- a/internal/work/dispatch/long_running.go
+++ b/internal/work/dispatch/long_running.go
@@ -3,8 +3,8 @@
 import "time"
 
 // moveLongRunning moves long-running tasks off a draining target, at most as many at a
-// time as may be unavailable of their step. Each is then unavailable for a moment only,
-// instead of from the target's end until that is noticed.
+// time as may be unavailable of their step. Each is then unavailable only during the move,
+// instead of from the target's end until that is detected.
 func (m *Machine) moveLongRunning(t *target, now time.Time) {
 	if !t.Draining {
 		return
--- a/internal/work/dispatch/orders_test.go
+++ b/internal/work/dispatch/orders_test.go
@@ -10,8 +10,8 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// A client cancelled its job and was told so, but stops are lost for a while. The tasks
-// must be stopped soon after stops get through again, not when they end by themselves.
+// A client's cancellation was acknowledged, but stops are lost for a while. The tasks must
+// be stopped soon after stops get through again, instead of running to their ends.
 func TestStopIsRepeatedUntilAnswered(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 1, DefaultBounds())
--- a/internal/work/dispatch/poll.go
+++ b/internal/work/dispatch/poll.go
@@ -45,7 +45,7 @@
 
 // extraPollIfDue sends an extra poll if the outstanding one may have been lost: it is
 // overdue, another order was not answered, or the end of a stopped run is overdue.
-// Otherwise the leader would learn nothing of the target until the lost poll times out,
+// Otherwise the leader would get no report of the target until the lost poll times out,
 // and preempted capacity would stay unused for as long.
 func (m *Machine) extraPollIfDue(t *target, now time.Time) {
 	if !t.pollPending || t.extraPollPending || t.reach != reachable || now.Sub(t.extraPollSentAt) < extraPollInterval {
@@ -65,7 +65,7 @@
 
 // pollZone sends extra polls to the unresponsive targets of a zone after one of its
 // targets has answered: the zone may be reachable again. The outstanding polls were sent
-// while it was not, and the ends there would be learned only after their timeouts.
+// while it was not, and the ends there would be reported only after their timeouts.
 // Targets that have missed nothing are left out: a new leader's first polls are still
 // under way to all targets, and must not be sent twice.
 func (m *Machine) pollZone(zone string, now time.Time) {
--- a/internal/work/dispatch/reachability.go
+++ b/internal/work/dispatch/reachability.go
@@ -3,7 +3,7 @@
 import "time"
 
 // When the network to a target fails, its poll shows that only by its timeout, seconds
-// later, and an idle target has no poll outstanding. Work that is placed there meanwhile
+// later, and an idle target has no poll outstanding. Work that is placed there in that time
 // waits until the target is reachable again or every lease has lapsed, since the orders
 // may have been executed. So a single unanswered order suspends placement on a target
 // until it answers anything. If several targets of a zone have missed orders, the zone is
@@ -19,8 +19,8 @@
 // while several of them crash.
 const zoneAnswerTimeout = 300 * time.Millisecond
 
-// responsive reports whether the target has answered the last orders, as far as is known,
-// and its zone is not considered unreachable.
+// responsive reports whether the target is not known to have missed an order since its last
+// answer, and its zone is not considered unreachable.
 func (t *target) responsive() bool { return t.unansweredSince.IsZero() && !t.zoneUnreachable }
 
 // targetAnswered records that a target has answered.
--- a/internal/work/dispatch/reachability_test.go
+++ b/internal/work/dispatch/reachability_test.go
@@ -85,9 +85,9 @@
 	d.check()
 }
 
-// Two busy targets of a zone crash at once, and another one there answered a moment ago:
-// the zone is not considered unreachable, and a gang that is placed just then starts
-// there.
+// Two busy targets of a zone crash at once, and another one there has just answered:
+// the zone is not considered unreachable, and a gang that is placed at that time
+// starts there.
 func TestTargetCrashesDoNotCloseBusyZone(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 8, DefaultBounds())
@@ -114,7 +114,7 @@
 
 // A zone is reachable again. The polls of its targets were sent before and have long
 // timeouts at a leader that allows for the delays of its orders, so ends there would be
-// learned that much later. The first target that answers has all others polled at once.
+// reported only after those. The first target that answers has all others polled at once.
 func TestZoneIsPolledWhenReachableAgain(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 3, 4, DefaultBounds())
--- a/internal/work/dispatch/save.go
+++ b/internal/work/dispatch/save.go
@@ -155,9 +155,9 @@
 	}
 }
 
-// reportJobEnded issues a JobEnded for a job that ended by itself. A cancelled job says
-// nothing about the quality of service, and a recurring or long-running job has no
-// completion time to meet.
+// reportJobEnded issues a JobEnded for a job that ended other than by cancellation. A
+// cancelled job says nothing about the quality of service, and a recurring or long-running
+// job has no completion time to meet.
 func (m *Machine) reportJobEnded(j *job, s progress.State) {
 	if s == progress.Cancelled || j.spec.Repeat > 0 || j.spec.LongRunning() {
 		return
--- a/internal/work/dispatch/simulation_test.go
+++ b/internal/work/dispatch/simulation_test.go
@@ -13,7 +13,7 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// Times of the simulation, as in today's deployments.
+// Times of the simulation, as in current deployments.
 const (
 	simulationStep = 10 * time.Millisecond
 	oneWay         = time.Millisecond
--- a/internal/work/dispatch/straggler_test.go
+++ b/internal/work/dispatch/straggler_test.go
@@ -19,7 +19,7 @@
 	return ""
 }
 
-// The runs on a target stall while it reports itself well. A run with checkpoints is
+// The runs on a target stall while it reports itself healthy. A run with checkpoints is
 // moved after some reports without progress, and the target gets no new work.
 func TestStalledRunIsMoved(t *testing.T) {
 	is := is.New(t)
--- a/internal/work/dispatch/warmup.go
+++ b/internal/work/dispatch/warmup.go
@@ -6,8 +6,8 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// A target that has just started is slow for a time that it declares. Whole zones start
-// anew after an evacuation or a power loss; filled at once, they would delay all the work
+// A target that has just started is slow for a time that it declares. Whole zones
+// restart after an evacuation or a power loss; filled at once, they would delay all the work
 // that other targets could do. So the usable share of such a target's capacity grows to
 // the whole while it warms up, and warm targets get work first.
 
--- a/internal/work/dispatch/warmup_test.go
+++ b/internal/work/dispatch/warmup_test.go
@@ -19,7 +19,7 @@
 	d.decide()
 }
 
-// All targets start anew and are cold. Filled at once, they would slow all pending work
+// All targets have just restarted and are cold. Filled at once, they would slow all pending work
 // down; they get more as they warm up, and their whole capacity when they are warm.
 func TestColdTargetsFillAsTheyWarmUp(t *testing.T) {
 	is := is.New(t)
