--- a/internal/fleet/limiter/delay.go
+++ b/internal/fleet/limiter/delay.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Bounds of the time-out of orders.
+// Bounds of the timeout of orders.
 const (
 	// minTimeout is a tenth of the time in which a gang's members must have started.
 	minTimeout = 350 * time.Millisecond
--- a/internal/fleet/limiter/doc.go
+++ b/internal/fleet/limiter/doc.go
@@ -2,8 +2,8 @@
 // urgency.
 //
 // Without a limit, a burst of orders occupies the host's link or processor for longer
-// than the time-out of an order: the orders time out, are sent again, and the host never
+// than the timeout of an order: the orders time out, are sent again, and the host never
 // catches up. The limit follows the delay of answers, as in S. Shalunov et al., Low Extra
-// Delay Background Transport (LEDBAT), RFC 6817 (2012); the time-out follows V. Paxson
+// Delay Background Transport (LEDBAT), RFC 6817 (2012); the timeout follows V. Paxson
 // et al., Computing TCP's Retransmission Timer, RFC 6298 (2011).
 package limiter
--- a/internal/fleet/limiter/limit.go
+++ b/internal/fleet/limiter/limit.go
@@ -10,7 +10,7 @@
 	maxLimit = 512
 	// initialLimit lets a gang of common size start at once.
 	initialLimit = 16
-	// targetQueueDelay is well below the time-out of orders, and above the time a process
+	// targetQueueDelay is well below the timeout of orders, and above the time a process
 	// waits to be scheduled on a busy host.
 	targetQueueDelay = 60 * time.Millisecond
 	// limitGain is the growth of the limit over as many answers as it has places, if
@@ -18,8 +18,8 @@
 	limitGain = 4
 	// maxShrink bounds how much faster the limit shrinks than it grows.
 	maxShrink = 4
-	// baseWindow is how long a minimum delay is remembered: the path may become longer
-	// for good, for example under a new leader in another zone.
+	// baseWindow is how long a minimum delay is remembered: the path may become
+	// longer permanently, for example under a new leader in another zone.
 	baseWindow = 10 * time.Second
 )
 
--- a/internal/fleet/limiter/limit_test.go
+++ b/internal/fleet/limiter/limit_test.go
@@ -74,7 +74,7 @@
 	is.Equal(l.size, float64(initialLimit))
 }
 
-// The time-out is minimal at usual delays, grows with them, and is bounded.
+// The timeout is minimal at usual delays, grows with them, and is bounded.
 func TestTimeout(t *testing.T) {
 	is := is.New(t)
 	var d delayEstimate
--- a/internal/fleet/limiter/limiter.go
+++ b/internal/fleet/limiter/limiter.go
@@ -29,10 +29,10 @@
 	minPendingStarts = 32
 	// An order counts against the limit for at most expiryDelays mean delays, but at
 	// least minExpiry. Without that bound, orders to targets that do not answer would
-	// count until their time-outs, and an unreachable zone would use up the whole limit.
+	// count until their timeouts, and an unreachable zone would use up the whole limit.
 	expiryDelays = 4
-	// fairnessInterval is how often the order that has waited longest is admitted: once
-	// in so many admissions.
+	// fairnessInterval is the number of admissions of which one goes to the order that has
+	// waited longest.
 	fairnessInterval = 4
 	minExpiry        = 40 * time.Millisecond
 )
--- a/internal/fleet/order/order.go
+++ b/internal/fleet/order/order.go
@@ -58,7 +58,7 @@
 type Running struct {
 	Run        Run
 	Checkpoint string
-	Percent    int // progress; for a lasting task, the share of its speed it is paced to
+	Percent    int // progress; for a long-running task, the share of its speed it is paced to
 	Gauge      int // over the last half second: tail latency in ms of a serving task, else millicores used
 }
 
--- a/internal/fleet/shape/shape.go
+++ b/internal/fleet/shape/shape.go
@@ -29,7 +29,7 @@
 // MaxAccelerators is the largest number of accelerators of one worker.
 const MaxAccelerators = 64
 
-// Shape is what a gang requests. The zero Shape is not valid; use NewShape.
+// Shape is what a gang requests. The zero Shape is not valid; use New.
 type Shape struct {
 	members      int // at least 1, at most MaxMembers
 	accelerators int // of each member, 0 or more
--- a/internal/fleet/shape/shape_test.go
+++ b/internal/fleet/shape/shape_test.go
@@ -8,7 +8,7 @@
 	"guavaglade.example/guavaglade/internal/fleet/shape"
 )
 
-func TestNewShapeErrors(t *testing.T) {
+func TestNewErrors(t *testing.T) {
 	cases := []struct {
 		name                                 string
 		members, accelerators, cores, memory int
