--- a/internal/config/text/config.go
+++ b/internal/config/text/config.go
@@ -12,7 +12,7 @@
 	services   map[string]Service
 	accounts   map[string]Account
 	guarantees map[string][]shape.Guarantee // by zone
-	draining   map[string]bool              // workers that an operator drains
+	draining   map[string]bool              // targets that an operator drains
 	evacuated  map[string]bool              // zones in which no task is started
 }
 
@@ -75,10 +75,10 @@
 	return n
 }
 
-// Draining reports whether an operator drains the worker.
-func (c *Config) Draining(worker string) bool { return c != nil && c.draining[worker] }
+// Draining reports whether an operator drains the target.
+func (c *Config) Draining(target string) bool { return c != nil && c.draining[target] }
 
-// DrainingTargets returns the workers that an operator drains, sorted.
+// DrainingTargets returns the targets that an operator drains, sorted.
 func (c *Config) DrainingTargets() []string {
 	var ids []string
 	for _, id := range sortedKeys(c.draining) {
--- a/internal/config/text/doc.go
+++ b/internal/config/text/doc.go
@@ -8,7 +8,7 @@
 //	[job SERVICE.NAME]        a kind of job that the service runs, with its shape
 //	[account NAME]            a client account: hashed key and weight
 //	[guarantee ACCOUNT.NAME]  a shape guaranteed to the account, per zone
-//	[target NAME]             whether a worker is drained
+//	[target NAME]             whether a target is drained
 //	[evacuation ZONE]         whether a zone is evacuated
 //
 // Check returns all faults of a text, each with its line number. Parse returns a
--- a/internal/standin/pool/orders.go
+++ b/internal/standin/pool/orders.go
@@ -77,7 +77,7 @@
 	j.starts++
 	x.totalWork = j.behaviour.Work(s.Run.Task)
 	if step.DataRack != "" && t.Rack != step.DataRack {
-		x.totalWork = time.Duration(float64(x.totalWork) * p.bounds.FarFactor)
+		x.totalWork = time.Duration(float64(x.totalWork) * p.bounds.RemoteSlowdown)
 	}
 	x.willFail = j.behaviour.Fails != nil && j.behaviour.Fails(s.Run.Task, s.Run.Number)
 	x.failsAtOnce = t.failing
--- a/internal/standin/pool/pool.go
+++ b/internal/standin/pool/pool.go
@@ -17,14 +17,14 @@
 	StopTime           time.Duration
 	GangTimeout        time.Duration
 	CheckpointInterval time.Duration // of work
-	FarFactor          float64
+	RemoteSlowdown     float64
 }
 
-// DefaultBounds returns the bounds of today's deployments.
+// DefaultBounds returns the bounds of current deployments.
 func DefaultBounds() Bounds {
 	return Bounds{
 		Lease: 6 * time.Second, StopTime: 400 * time.Millisecond, GangTimeout: 3 * time.Second,
-		CheckpointInterval: 2 * time.Second, FarFactor: 3,
+		CheckpointInterval: 2 * time.Second, RemoteSlowdown: 3,
 	}
 }
 
--- a/internal/standin/pool/running.go
+++ b/internal/standin/pool/running.go
@@ -124,7 +124,7 @@
 		racks[y.target.Rack] = true
 	}
 	if x.step.SameRack && len(racks) > 1 {
-		total = time.Duration(float64(total) * p.bounds.FarFactor)
+		total = time.Duration(float64(total) * p.bounds.RemoteSlowdown)
 	}
 	for _, y := range members {
 		y.active, y.totalWork = true, total
