--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -383,9 +383,9 @@
 			case <-time.After(max(next.Sub(l.clock()), 0)):
 			}
 			next = l.clock().Add(d)
-			cut, err := store.RunUntilRecovered(l.ctx, l.recovered(), f)
+			interrupted, err := store.RunUntilRecovered(l.ctx, l.recovered(), f)
 			switch {
-			case cut:
+			case interrupted:
 				next = l.clock()
 			case err != nil:
 				next = l.clock().Add(storeRetryDelay)
--- a/internal/host/dispatcher/execute.go
+++ b/internal/host/dispatcher/execute.go
@@ -135,7 +135,7 @@
 }
 
 // requestReport polls a target for its report. A poll that waits at the target for the
-// end of a run is no load meanwhile, and does not count against the limiter.
+// end of a run is no load during the wait, and does not count against the limiter.
 func (l *leadership) requestReport(c dispatch.Poll) (rep order.Report, err error) {
 	if c.Order.Wait == 0 {
 		_, err = l.send(c.Class, minReportMargin, func(ctx context.Context) (int64, error) {
@@ -158,9 +158,9 @@
 func (l *leadership) save(c dispatch.Save) {
 	tx := l.transaction(c)
 	for attempt := 0; ; attempt++ {
-		res, cut, err := l.commit(tx)
+		res, interrupted, err := l.commit(tx)
 		switch {
-		case cut:
+		case interrupted:
 			continue
 		case err == nil:
 			l.post(func(now time.Time) { l.machine.Saved(c.Partition, res.Version, now) })
@@ -180,17 +180,17 @@
 	}
 }
 
-// commit commits a transaction. cut reports that the store recovered meanwhile, so the
-// outcome is not known.
-func (l *leadership) commit(tx store.Tx) (res store.Result, cut bool, err error) {
-	cut, err = store.RunUntilRecovered(l.ctx, l.recovered(), func(ctx context.Context) error {
+// commit commits a transaction. interrupted reports that the store recovered during the
+// call, so the outcome is not known.
+func (l *leadership) commit(tx store.Tx) (res store.Result, interrupted bool, err error) {
+	interrupted, err = store.RunUntilRecovered(l.ctx, l.recovered(), func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		var err error
 		res, err = l.store.Commit(ctx, tx)
 		return err
 	})
-	return res, cut, err
+	return res, interrupted, err
 }
 
 func (l *leadership) transaction(c dispatch.Save) store.Tx {
--- a/internal/host/dispatcher/narrow_link_test.go
+++ b/internal/host/dispatcher/narrow_link_test.go
@@ -43,8 +43,8 @@
 	err    error
 }
 
-// transmit sends so many bytes and runs f once they have arrived. It returns earlier if
-// the context ends; f runs all the same.
+// transmit sends a number of bytes and runs f once they have arrived. It returns earlier
+// if the context ends, but f still runs.
 func (l *narrowLink) transmit(ctx context.Context, bytes int, f func(ctx context.Context) answer) answer {
 	l.mu.Lock()
 	if now := time.Now(); l.freeAt.Before(now) {
@@ -121,7 +121,7 @@
 	return r
 }
 
-// submit submits a gang with a spec of so many bytes.
+// submit submits a gang with a spec of the given number of bytes.
 func (r *narrowRig) submit(t *testing.T, n, members, spec int) {
 	j := &graph.Job{
 		ID: graph.JobID(fmt.Sprintf("%016x", n+1)), Queue: "q", Service: "s", Account: "a", Priority: n % 2, MaxAttempts: 2, SlackFactor: 3,
--- a/internal/host/dispatcher/recovery_test.go
+++ b/internal/host/dispatcher/recovery_test.go
@@ -19,7 +19,7 @@
 )
 
 // outageStore is a store and a roster that do not answer while down is set: calls made
-// meanwhile are lost.
+// during that time are lost.
 type outageStore struct {
 	*rows.Table
 	mu     sync.Mutex
--- a/internal/host/dispatcher/requests.go
+++ b/internal/host/dispatcher/requests.go
@@ -19,7 +19,7 @@
 	return d.onLoop(ctx, func(m *dispatch.Machine, now time.Time) { m.Cancel(id, now) })
 }
 
-// State returns the status that clients may see of a job, and whether the leader knows
+// Status returns the status that clients may see of a job, and whether the leader knows
 // the job.
 func (d *Dispatcher) Status(ctx context.Context, id graph.JobID) (status view.JobStatus, known bool, err error) {
 	err = d.onLoop(ctx, func(m *dispatch.Machine, _ time.Time) { status, known = m.Status(id) })
--- a/internal/host/entry/entry.go
+++ b/internal/host/entry/entry.go
@@ -282,7 +282,7 @@
 	return status, err
 }
 
-// errLeaderUnknownJob stands for the answer of a leader that does not know the job.
+// errLeaderUnknownJob represents the answer of a leader that does not know the job.
 var errLeaderUnknownJob = errors.New("it does not know the job")
 
 // storedStatus returns the status of a job by its rows.
@@ -314,7 +314,7 @@
 }
 
 // stateOf returns the state that clients see of a job. A final state that was saved
-// stands: a later cancellation has no effect.
+// does not change: a later cancellation has no effect.
 func stateOf(s progress.State, started, cancelled bool) progress.State {
 	switch {
 	case s.Final():
--- a/internal/host/entry/entry_test.go
+++ b/internal/host/entry/entry_test.go
@@ -33,7 +33,7 @@
 type fakeLeader struct {
 	latency     time.Duration
 	unreachable bool
-	notLeading  atomic.Int32 // so many calls fail with ErrNotLeading
+	notLeading  atomic.Int32 // number of calls that fail with ErrNotLeading
 	notified    atomic.Int32 // notifications that arrived
 	cancelled   map[graph.JobID]bool
 	known       map[graph.JobID]view.JobStatus
@@ -256,9 +256,9 @@
 	})
 }
 
-// The store does not answer at all. The host detects this by itself and refuses requests
-// at once; it accepts them again soon after the store recovers.
-func TestSilentStoreIsDetected(t *testing.T) {
+// The store does not answer at all. The host detects this by its probes and refuses
+// requests at once; it accepts them again soon after the store recovers.
+func TestUnresponsiveStoreIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(ErrNotAccepted)
