--- a/internal/host/leader/election.go
+++ b/internal/host/leader/election.go
@@ -48,7 +48,7 @@
 	row         Row           // as last read, written or reported by a peer
 	version     int64         // of row in the store; 0 if a peer reported the row
 	changedAt   time.Time     // when this host first saw that row, or last reset the lease
-	storeLostAt time.Time     // when the store last became unavailable to this host
+	storeDownAt time.Time     // when the store last became unavailable to this host
 	term        *Term         // nil while another host leads
 	following   bool          // another host leads, and this one could
 	transfers   chan transfer // terms that a leader transferred to this host
--- a/internal/host/leader/following.go
+++ b/internal/host/leader/following.go
@@ -100,8 +100,8 @@
 	e.changedAt = e.clock()
 }
 
-// minOutage is the shortest loss of the store that counts as an outage. A host whose
-// writes were done but not answered also sees the store as lost, until the next answer.
+// minOutage is the shortest time without the store that counts as an outage. A host whose
+// writes were done but not answered also sees the store as down, until the next answer.
 const minOutage = 300 * time.Millisecond
 
 // StoreChanged records whether the store is available to this host. The time of an
@@ -114,8 +114,8 @@
 	now := e.clock()
 	switch {
 	case !up:
-		e.storeLostAt = now
-	case now.Sub(e.storeLostAt) >= minOutage:
+		e.storeDownAt = now
+	case now.Sub(e.storeDownAt) >= minOutage:
 		e.changedAt = now
 	}
 }
--- a/internal/host/leader/takeover.go
+++ b/internal/host/leader/takeover.go
@@ -57,7 +57,7 @@
 	select {
 	case e.transfers <- transfer{t, next, version}:
 		return true
-	case <-time.After(storeTimeout): // Run ended, or this host took the row over by itself
+	case <-time.After(storeTimeout): // Run ended, or this host took the row over without a transfer
 		return false
 	}
 }
--- a/internal/host/rpc/endpoint.go
+++ b/internal/host/rpc/endpoint.go
@@ -42,7 +42,7 @@
 	// watchDelay is how long the leader delays its answer to a watch: about a third of
 	// leader.Lease.
 	watchDelay = 400 * time.Millisecond
-	// watchTimeout bounds a watch, so that a leader that is cut off is detected.
+	// watchTimeout bounds a watch, so that an isolated leader is detected.
 	watchTimeout = watchDelay + 500*time.Millisecond
 	// callTimeout bounds every other call. Within a zone a call takes a millisecond.
 	callTimeout = 400 * time.Millisecond
@@ -54,9 +54,9 @@
 	// watcherExpiry is how long after its last watch a host counts as alive.
 	watcherExpiry = 2 * time.Second
 	// reachableFor is how long after its last message a host or the store counts as
-	// reachable: in normal operation each is heard from within 600 ms. In that time clients
-	// of a zone that is cut off are still sent there and refused; the balancer needs more
-	// than one failed readiness check to send them elsewhere.
+	// reachable: in normal operation a message comes from each within 600 ms. In that time
+	// clients of an isolated zone are still sent there and refused; the balancer needs
+	// more than one failed readiness check to send them elsewhere.
 	reachableFor = 800 * time.Millisecond
 )
 
@@ -128,9 +128,9 @@
 	return func(e *Endpoint) { e.adopted = f }
 }
 
-// WithOutcomes sets the function that returns the host's counts of jobs that ended. By
+// WithBurnSnapshot sets the function that returns the host's counts of jobs that ended. By
 // default there are none.
-func WithOutcomes(f func() burn.Snapshot) Option { return func(e *Endpoint) { e.outcomes = f } }
+func WithBurnSnapshot(f func() burn.Snapshot) Option { return func(e *Endpoint) { e.outcomes = f } }
 
 // WithStoreAnswered sets the function that returns when the store last answered the host.
 // The default is the current time.
--- a/internal/host/rpc/endpoint_test.go
+++ b/internal/host/rpc/endpoint_test.go
@@ -83,14 +83,14 @@
 // host is one host of a test.
 type host struct {
 	*rpc.Endpoint
-	address      string
-	dispatcher   testDispatcher
-	election     testElection
-	writer       testWriter
-	storeUp      bool
-	storeSilence time.Duration // since the store last answered
-	accepted     chan net.Conn // connections from other hosts
-	unreachable  bool          // by other hosts
+	address          string
+	dispatcher       testDispatcher
+	election         testElection
+	writer           testWriter
+	storeUp          bool
+	sinceStoreAnswer time.Duration // since the store last answered
+	accepted         chan net.Conn // connections from other hosts
+	unreachable      bool          // by other hosts
 }
 
 // Accept implements net.Listener.
@@ -132,7 +132,7 @@
 			h := &host{address: fmt.Sprintf("10.0.0.%d:1", i), storeUp: true, accepted: make(chan net.Conn)}
 			hosts[i] = h
 			h.Endpoint = rpc.New(h.address, &h.dispatcher, catalog.NewKeeper(nil), func() bool { return h.storeUp }, rpc.WithCores(float64(n-i)), rpc.WithZone([]string{"leon", "celaya"}[i/2%2]),
-				rpc.WithStoreAnswered(func() time.Time { return time.Now().Add(-h.storeSilence) }))
+				rpc.WithStoreAnswered(func() time.Time { return time.Now().Add(-h.sinceStoreAnswer) }))
 			transport := peer.New(h.Handle, nil, dial, logr.Discard())
 			h.Bind(transport, &h.election, &h.writer)
 			h.election.row.Address = "10.0.0.0:1"
@@ -278,8 +278,8 @@
 	})
 }
 
-// In a zone that is cut off, no host can store anything. Each reports that it cannot serve, and
-// the balancer sends clients to other zones.
+// In an isolated zone no host can store anything. Each reports that it cannot serve, and the
+// balancer sends clients to other zones.
 func TestCanServeOnlyWithAccessToStore(t *testing.T) {
 	withHosts(t, 2, func(ctx context.Context, is *is.I, hosts []*host) {
 		_, err := hosts[1].Watch(ctx, hosts[0].address, 1)
@@ -287,16 +287,16 @@
 		hosts[1].storeUp = false
 		is.True(hosts[1].CanServe()) // by relaying to the leader
 		time.Sleep(3 * time.Second)
-		is.True(!hosts[1].CanServe()) // the leader was not heard from for long
+		is.True(!hosts[1].CanServe()) // the leader has not answered for long
 		hosts[1].storeUp = true
 		is.True(hosts[1].CanServe())
 	})
 }
 
-// A zone with the leader in it is cut off. Its hosts reached their leader and reported that
-// they could serve, so all clients of the zone were refused until the cut was over, although
-// hosts of other zones could have served them.
-func TestZoneCutOffWithLeaderCannotServe(t *testing.T) {
+// A zone with the leader in it is isolated. Its hosts reached their leader and reported that
+// they could serve, so all clients of the zone were refused until it was connected again,
+// although hosts of other zones could have served them.
+func TestZoneIsolatedWithLeaderCannotServe(t *testing.T) {
 	withHosts(t, 4, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 4, hosts[0], hosts[1:]...)
 		for _, h := range hosts {
@@ -315,11 +315,11 @@
 	})
 }
 
-// A zone is cut off. One of its hosts led until then, and the other hosts of the zone keep
-// calling it. What it was told before it led, and the calls of the others, are no evidence
-// that it can serve. As long as one host of the zone reports that it can, the balancer sends
-// all clients of the zone there.
-func TestFormerLeaderInCutZoneCannotServe(t *testing.T) {
+// A zone is isolated. One of its hosts led until then, and the other hosts of the zone keep
+// calling it. The reports it received before it led, and the calls of the others, are no
+// evidence that it can serve. As long as one host of the zone reports that it can, the
+// balancer sends all clients of the zone there.
+func TestFormerLeaderInIsolatedZoneCannotServe(t *testing.T) {
 	withHosts(t, 4, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 2, hosts[0], hosts[1], hosts[2])
 		hosts[0].election.term, hosts[0].dispatcher.leads = nil, false
@@ -337,23 +337,23 @@
 	})
 }
 
-// A zone is cut off without broken connections, and the store counts as lost a second later at
-// the earliest. A host that has heard neither from the store nor from the leader, for longer
-// than either is silent in normal operation, reports at once that it cannot serve.
-func TestSilenceOfStoreAndLeaderIsDetected(t *testing.T) {
+// A zone is isolated without broken connections, and the store counts as down a second later
+// at the earliest. A host that has no answer from the store or the leader, for longer than
+// the interval between answers in normal operation, reports at once that it cannot serve.
+func TestUnresponsiveStoreAndLeaderAreDetected(t *testing.T) {
 	withHosts(t, 2, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 1, hosts[0], hosts[1])
-		hosts[1].storeSilence = 900 * time.Millisecond
-		is.True(hosts[1].CanServe()) // the leader was heard from: the store may be slow
+		hosts[1].sinceStoreAnswer = 900 * time.Millisecond
+		is.True(hosts[1].CanServe()) // the leader has answered: the store may be slow
 		time.Sleep(900 * time.Millisecond)
 		is.True(!hosts[1].CanServe())
-		hosts[1].storeSilence = 0
+		hosts[1].sinceStoreAnswer = 0
 		is.True(hosts[1].CanServe())
 	})
 }
 
-// A zone is cut off and connections are reset: the leader is unreachable, and the store is
-// lost. The leader's last report is no longer valid, however recent.
+// A zone is isolated and connections are reset: the leader is unreachable, and the store is
+// down. The leader's last report is no longer valid, however recent.
 func TestReportOfUnreachableLeaderIsDropped(t *testing.T) {
 	withHosts(t, 2, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 1, hosts[0], hosts[1])
@@ -395,7 +395,7 @@
 	})
 }
 
-// A host asks the leader for the state of a job, or itself if it leads. Without a leader it
+// A host asks the leader for the status of a job, or itself if it leads. Without a leader it
 // fails at once.
 func TestStatusIsAskedOfLeader(t *testing.T) {
 	withHosts(t, 2, func(ctx context.Context, is *is.I, hosts []*host) {
--- a/internal/host/scheduler/scheduler.go
+++ b/internal/host/scheduler/scheduler.go
@@ -126,7 +126,7 @@
 	s.endpoint = rpc.New(
 		id.Peers, s.desk, s.keeper, s.store.Up, rpc.WithCores(id.Power), rpc.WithZone(id.Zone), rpc.WithLog(log),
 		rpc.WithStoreAnswered(s.store.LastAnswer),
-		rpc.WithAdopted(s.adopted), rpc.WithOutcomes(func() burn.Snapshot { return s.burn.Snapshot(time.Now()) }),
+		rpc.WithAdopted(s.adopted), rpc.WithBurnSnapshot(func() burn.Snapshot { return s.burn.Snapshot(time.Now()) }),
 	)
 	s.net = peer.New(s.endpoint.Handle, set.peerTLS, nil, log)
 	s.election = leader.New(s.store, s.endpoint, s.desk.Lead, holder, id.Peers, log, leader.WithCores(id.Power))
