--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -287,7 +287,7 @@
 	c := l.machine.Counts()
 	guaranteed, usable := l.machine.Guarantees()
 	for name, n := range map[string]int{
-		"jobs": c.Jobs, "targets": c.Targets, "targets_held": c.Reachable, "runs": c.Runs, "steps_waiting": c.OpenSteps,
+		"jobs": c.Jobs, "targets": c.Targets, "targets_held": c.Reachable, "runs": c.Runs, "steps_waiting": c.PendingSteps,
 		"zones_evacuated": c.Evacuated, "accelerators_usable": usable, "accelerators_guaranteed": guaranteed,
 	} {
 		l.metrics.Gauge(name).Update(float64(n))
@@ -296,7 +296,7 @@
 	load := l.limiter.Stats()
 	if now := l.clock(); load.Waiting > 0 && now.Sub(l.waitingLoggedAt) >= time.Second {
 		l.waitingLoggedAt = now
-		l.log.Info("orders waiting", "waiting", load.Waiting, "oldestMS", load.LongestWait.Milliseconds(), "limit", load.Limit, "perSecond", int(load.Rate), "delayMS", load.Delay.Milliseconds(), "stepsWaiting", c.OpenSteps)
+		l.log.Info("orders waiting", "waiting", load.Waiting, "oldestMS", load.LongestWait.Milliseconds(), "limit", load.Limit, "perSecond", int(load.Rate), "delayMS", load.Delay.Milliseconds(), "stepsWaiting", c.PendingSteps)
 	}
 	l.metrics.Gauge("orders_limit").Update(float64(load.Limit))
 	l.metrics.Gauge("orders_waiting").Update(float64(load.Waiting))
--- a/internal/host/dispatcher/history.go
+++ b/internal/host/dispatcher/history.go
@@ -41,8 +41,8 @@
 }
 
 // Decided implements dispatch.Log.
-func (h *histories) Decided(what string, kv ...any) {
-	h.log.Info(what, kv...)
+func (h *histories) Decided(message string, kv ...any) {
+	h.log.Info(message, kv...)
 	id, ok := jobOf(kv)
 	if !ok {
 		return
@@ -57,7 +57,7 @@
 	if len(decisions) == maxDecisionsPerJob { // the first half shows how the job was admitted: the oldest of the second half goes
 		decisions = append(decisions[:maxDecisionsPerJob/2], decisions[maxDecisionsPerJob/2+1:]...)
 	}
-	h.byJob[id] = append(decisions, decision{at: time.Now(), message: what, pairs: kv})
+	h.byJob[id] = append(decisions, decision{at: time.Now(), message: message, pairs: kv})
 }
 
 func (h *histories) evictOldest() {
--- a/internal/work/dispatch/accept.go
+++ b/internal/work/dispatch/accept.go
@@ -166,13 +166,13 @@
 	m.enqueueStep(s, now)
 }
 
-// enqueueStep adds a step that may have tasks to start to the open steps.
+// enqueueStep adds a step that may have tasks to start to the pending steps.
 func (m *Machine) enqueueStep(s *step, _ time.Time) {
 	if s.blockedBy > 0 || s.done || s.job.finished() || s.queued {
 		return
 	}
 	s.queued = true
-	m.openSteps = append(m.openSteps, s)
+	m.pendingSteps = append(m.pendingSteps, s)
 	m.newSteps = append(m.newSteps, s)
 	m.placementDue = true
 }
--- a/internal/work/dispatch/backlog_test.go
+++ b/internal/work/dispatch/backlog_test.go
@@ -115,7 +115,7 @@
 	const slow = 500 * time.Millisecond
 	d.m.SetOrderTime(slow)
 	d.m.Accept(d.makeJob(2, 0, urgentGang(4, 8)), d.now)
-	s := d.m.openSteps[len(d.m.openSteps)-1]
+	s := d.m.pendingSteps[len(d.m.pendingSteps)-1]
 	usual := b.ReclaimTime - b.MaxStopTime - reclaimMargin
 	is.True(!d.m.guaranteeDue(s, d.now.Add(usual-2*slow-10*time.Millisecond)))
 	is.True(d.m.guaranteeDue(s, d.now.Add(usual-2*slow+10*time.Millisecond)))
--- a/internal/work/dispatch/ends.go
+++ b/internal/work/dispatch/ends.go
@@ -204,7 +204,7 @@
 			m.stop(r, "its job has ended", now)
 		}
 	}
-	m.openSteps = slices.DeleteFunc(m.openSteps, func(s *step) bool { return s.job == j })
+	m.pendingSteps = slices.DeleteFunc(m.pendingSteps, func(s *step) bool { return s.job == j })
 }
 
 // endedWithGang reports whether a run of a job in a final state has ended on its target
--- a/internal/work/dispatch/gang_test.go
+++ b/internal/work/dispatch/gang_test.go
@@ -23,7 +23,7 @@
 			g := largeGang(rapid.IntRange(1, 20).Draw(rt, "members"), rapid.SampledFrom([]int{1, 2, 4, 8}).Draw(rt, "accelerators"))
 			g.SameRack = rapid.Bool().Draw(rt, "same rack")
 			d.m.Accept(d.makeJob(100+n, 1, g), d.now)
-			s := d.m.openSteps[len(d.m.openSteps)-1]
+			s := d.m.pendingSteps[len(d.m.pendingSteps)-1]
 			slower := d.m.wallMS(d.now) > s.latestStartForValue()
 			if !d.m.pass.isUnplaceable(s, slower) {
 				d.m.placeGang(s, d.now)
@@ -48,7 +48,7 @@
 	}
 	d.now = d.now.Add(30 * time.Second)
 	d.m.Accept(d.makeJob(2, 0, urgentGang(8, 8)), d.now)
-	s := d.m.openSteps[len(d.m.openSteps)-1]
+	s := d.m.pendingSteps[len(d.m.pendingSteps)-1]
 	searches, last := 0, s.nextPreemptionAt
 	for range 100 {
 		d.m.placementDue, d.m.nextPassAt = true, time.Time{}
--- a/internal/work/dispatch/job.go
+++ b/internal/work/dispatch/job.go
@@ -54,9 +54,9 @@
 	pausedUntil      time.Time       // a gang is not placed before
 	nextPreemptionAt time.Time       // earliest time of the next search for work to preempt
 	reservation      []*target       // targets reserved for it until then
-	rank             int64           // order among the open steps in this pass, lowest first
+	rank             int64           // order among the pending steps in this pass, lowest first
 	criticalPath     time.Duration   // estimated duration of the critical path from this step on
-	queued           bool            // it is in Machine.openSteps
+	queued           bool            // it is in Machine.pendingSteps
 }
 
 // task is one task of a step.
--- a/internal/work/dispatch/load_test.go
+++ b/internal/work/dispatch/load_test.go
@@ -88,7 +88,7 @@
 				s.runWithLoad(time.Second)
 			}
 			b.ReportMetric(float64(s.m.Counts().Runs), "runs")
-			b.ReportMetric(float64(s.m.Counts().OpenSteps), "waiting")
+			b.ReportMetric(float64(s.m.Counts().PendingSteps), "waiting")
 			b.ReportMetric(s.shareInTime(0, 3, s.now.Add(-10*time.Second)), "urgentInTime")
 		})
 	}
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -23,7 +23,7 @@
 	racks              [][]*target // sortedTargets grouped by rack; nil: to be rebuilt
 	jobs               map[graph.JobID]*job
 	recurring          []*job  // jobs that recur, in the order of their arrival
-	openSteps          []*step // steps with tasks to start, by rank as of the last pass, new ones last
+	pendingSteps       []*step // steps with tasks to start, by rank as of the last pass, new ones last
 	partitions         []partition
 	commands           []Command
 	placementEnabled   bool // set by EnablePlacement
@@ -53,7 +53,7 @@
 // Log receives one line for each decision, with alternating keys and values. Its
 // methods must not block.
 type Log interface {
-	Decided(what string, kv ...any)
+	Decided(message string, kv ...any)
 }
 
 type discardLog struct{}
@@ -180,7 +180,7 @@
 		m.log.Decided("target started draining", "target", t.ID, "remainsMS", l.RemainingMS, "runs", len(t.runs))
 	}
 	if l.RemainingMS != t.RemainingMS {
-		t.remainsToldAt = now
+		t.remainingReportedAt = now
 	}
 	if l.ColdRemainingMS != t.ColdRemainingMS {
 		t.startWarmUp(l.ColdRemainingMS, now)
--- a/internal/work/dispatch/query.go
+++ b/internal/work/dispatch/query.go
@@ -89,7 +89,7 @@
 // Fleet returns the machine's targets, zones and accounts.
 func (m *Machine) Fleet(now time.Time) view.Fleet {
 	f := view.Fleet{
-		Term: m.term, PendingSteps: len(m.openSteps), Zones: m.zones(), Targets: []view.Target{}, Accounts: []view.Account{},
+		Term: m.term, PendingSteps: len(m.pendingSteps), Zones: m.zones(), Targets: []view.Target{}, Accounts: []view.Account{},
 		Guaranteed: m.totalGuaranteed(), Usable: m.usableAccelerators(),
 	}
 	for _, t := range m.sortedTargets {
@@ -158,12 +158,12 @@
 
 // Counts are the sizes of a machine's collections.
 type Counts struct {
-	Jobs, Targets, Reachable, Runs, OpenSteps, Evacuated int
+	Jobs, Targets, Reachable, Runs, PendingSteps, Evacuated int
 }
 
 // Counts returns the current sizes of the machine's collections.
 func (m *Machine) Counts() Counts {
-	c := Counts{Jobs: len(m.jobs), Targets: len(m.targets), OpenSteps: len(m.openSteps), Evacuated: len(m.evacuated.Zones)}
+	c := Counts{Jobs: len(m.jobs), Targets: len(m.targets), PendingSteps: len(m.pendingSteps), Evacuated: len(m.evacuated.Zones)}
 	for _, t := range m.sortedTargets {
 		if t.reach == reachable {
 			c.Reachable++
--- a/internal/work/dispatch/schedule.go
+++ b/internal/work/dispatch/schedule.go
@@ -100,21 +100,21 @@
 	}
 }
 
-// schedule places the open steps, the most urgent first.
+// schedule places the pending steps, the most urgent first.
 func (m *Machine) schedule(now time.Time) {
 	m.newPass(now)
 	m.newSteps = nil
 	nowMS := m.wallMS(now)
-	for _, s := range m.openSteps {
+	for _, s := range m.pendingSteps {
 		s.rank = s.rankAt(nowMS)
 	}
-	slices.SortStableFunc(m.openSteps, func(a, b *step) int {
+	slices.SortStableFunc(m.pendingSteps, func(a, b *step) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.releaseTime(), b.releaseTime()))
 	})
 	m.reserved = nil
 	startsPending := false // a step waits until pending starts are answered
-	remaining := m.openSteps[:0]
-	for _, s := range m.openSteps {
+	remaining := m.pendingSteps[:0]
+	for _, s := range m.pendingSteps {
 		if s.done || s.job.finished() {
 			s.queued = false
 			continue
@@ -135,8 +135,8 @@
 			s.queued = false
 		}
 	}
-	clear(m.openSteps[len(remaining):])
-	m.openSteps = remaining
+	clear(m.pendingSteps[len(remaining):])
+	m.pendingSteps = remaining
 	m.nextPassAt = now.Add(time.Duration(m.targetsConsidered) * passPausePerTarget)
 	if startsPending {
 		m.placementDue = true
--- a/internal/work/dispatch/simulation_test.go
+++ b/internal/work/dispatch/simulation_test.go
@@ -84,8 +84,8 @@
 }
 
 // Decided implements Log.
-func (d *simulation) Decided(what string, kv ...any) {
-	d.log = append(d.log, fmt.Sprintf("%7.3f %s %v", d.now.Sub(time.Unix(1000, 0)).Seconds(), what, kv))
+func (d *simulation) Decided(message string, kv ...any) {
+	d.log = append(d.log, fmt.Sprintf("%7.3f %s %v", d.now.Sub(time.Unix(1000, 0)).Seconds(), message, kv))
 }
 
 // after schedules an event.
--- a/internal/work/dispatch/straggler.go
+++ b/internal/work/dispatch/straggler.go
@@ -211,7 +211,7 @@
 // stay somewhat longer than they announced.
 func (m *Machine) outlastsTarget(r *run, now time.Time) bool {
 	remaining := r.expectedRemaining(now)
-	targetRemaining := time.Duration(r.target.RemainingMS)*time.Millisecond - now.Sub(r.target.remainsToldAt)
+	targetRemaining := time.Duration(r.target.RemainingMS)*time.Millisecond - now.Sub(r.target.remainingReportedAt)
 	if r.task.step.spec.Checkpointing && !r.task.step.spec.Gang {
 		return remaining > targetRemaining
 	}
--- a/internal/work/dispatch/target.go
+++ b/internal/work/dispatch/target.go
@@ -21,41 +21,41 @@
 // target is one incarnation of a target.
 type target struct {
 	roster.Target
-	listed           bool          // it is in the platform's list
-	evacuated        bool          // its zone is evacuated
-	warmUpEnd        time.Time     // end of its warm-up, during which it is slow
-	warmUpTime       time.Duration // length of its warm-up as declared; 0: it is warm
-	coldShare        float64       // share of warmUpTime that is left; above 0 during the warm-up
-	drainingAt       time.Time     // when it was first listed as draining
-	reach            reachability
-	unreachableSince time.Time          // when it became unreachable
-	runs             map[order.Run]*run // all runs that may exist there
-	used             graph.Resources    // charge of the runs that hold capacity there
-	waitingCharge    graph.Resources    // charge of the runs that await capacity there
-	clockMS          int64              // its clock as last reported; 0: not known
-	clockAt          time.Time          // when that was received
-	leaseEnd         time.Time          // when all leases granted there have lapsed
-	pollCandidate    bool               // it is in Machine.pollCandidates
-	pollPending      bool               // a poll is outstanding
-	pollSentAt       time.Time          // when the outstanding poll was sent
-	extraPollPending bool               // an extra poll is outstanding
-	extraPollSentAt  time.Time          // when the last extra poll was sent
-	reportedAt       time.Time          // when it last reported
-	answeredAt       time.Time          // when it last answered any order or poll
-	unansweredSince  time.Time          // when the first order or poll without an answer was sent; zero: none
-	zoneUnreachable  bool               // its zone seems unreachable, and it has not answered since
-	nextPollAt       time.Time          // earliest time of the next poll
-	reported         bool               // it has reported in this term
-	highestEnd       int64              // highest end number processed
-	unsavedEnds      []unsavedEnd       // ends processed and not yet saved, by number
-	unsavedPollAt    time.Time          // earliest time of the next poll while ends are not saved
-	acked            int64              // all ends up to this number are saved
-	confirmedAck     int64              // highest acknowledgement that a poll has delivered
-	ackDue           time.Time          // latest time to acknowledge saved ends; zero: none yet
-	health           health.Record
-	pacedAt          time.Time // when the pace of its best-effort tasks last changed
-	remainsToldAt    time.Time // when it last announced its remaining time
-	suspendedUntil   time.Time // it gets no work until then
+	listed              bool          // it is in the platform's list
+	evacuated           bool          // its zone is evacuated
+	warmUpEnd           time.Time     // end of its warm-up, during which it is slow
+	warmUpTime          time.Duration // length of its warm-up as declared; 0: it is warm
+	coldShare           float64       // share of warmUpTime that is left; above 0 during the warm-up
+	drainingAt          time.Time     // when it was first listed as draining
+	reach               reachability
+	unreachableSince    time.Time          // when it became unreachable
+	runs                map[order.Run]*run // all runs that may exist there
+	used                graph.Resources    // charge of the runs that hold capacity there
+	waitingCharge       graph.Resources    // charge of the runs that await capacity there
+	clockMS             int64              // its clock as last reported; 0: not known
+	clockAt             time.Time          // when that was received
+	leaseEnd            time.Time          // when all leases granted there have lapsed
+	pollCandidate       bool               // it is in Machine.pollCandidates
+	pollPending         bool               // a poll is outstanding
+	pollSentAt          time.Time          // when the outstanding poll was sent
+	extraPollPending    bool               // an extra poll is outstanding
+	extraPollSentAt     time.Time          // when the last extra poll was sent
+	reportedAt          time.Time          // when it last reported
+	answeredAt          time.Time          // when it last answered any order or poll
+	unansweredSince     time.Time          // when the first order or poll without an answer was sent; zero: none
+	zoneUnreachable     bool               // its zone seems unreachable, and it has not answered since
+	nextPollAt          time.Time          // earliest time of the next poll
+	reported            bool               // it has reported in this term
+	highestEnd          int64              // highest end number processed
+	unsavedEnds         []unsavedEnd       // ends processed and not yet saved, by number
+	unsavedPollAt       time.Time          // earliest time of the next poll while ends are not saved
+	acked               int64              // all ends up to this number are saved
+	confirmedAck        int64              // highest acknowledgement that a poll has delivered
+	ackDue              time.Time          // latest time to acknowledge saved ends; zero: none yet
+	health              health.Record
+	pacedAt             time.Time // when the pace of its best-effort tasks last changed
+	remainingReportedAt time.Time // when it last announced its remaining time
+	suspendedUntil      time.Time // it gets no work until then
 }
 
 // unsavedEnd is an end that may be acknowledged once a revision of its job is saved.
