--- a/internal/host/dispatcher/narrow_link_test.go
+++ b/internal/host/dispatcher/narrow_link_test.go
@@ -93,8 +93,8 @@
 	return a.report, a.err
 }
 
-// narrowRig is a leader on a host with a narrow link, with racks of eight targets.
-type narrowRig struct {
+// narrowLinkDeployment is a leader on a host with a narrow link, with racks of eight targets.
+type narrowLinkDeployment struct {
 	d     *Dispatcher
 	pool  *pool.Shared
 	rows  *rows.Table
@@ -102,8 +102,8 @@
 	tasks int
 }
 
-func startLeader(ctx context.Context, racks int, perSecond float64) *narrowRig {
-	r := &narrowRig{pool: pool.Share(ctx, pool.New(pool.DefaultBounds())), rows: rows.New(8 * time.Millisecond), ended: make(chan error, 1)}
+func startLeader(ctx context.Context, racks int, perSecond float64) *narrowLinkDeployment {
+	r := &narrowLinkDeployment{pool: pool.Share(ctx, pool.New(pool.DefaultBounds())), rows: rows.New(8 * time.Millisecond), ended: make(chan error, 1)}
 	r.pool.Do(func(p *pool.Pool, now time.Time) {
 		for i := range racks * 8 {
 			name := fmt.Sprintf("t%d", i)
@@ -122,7 +122,7 @@
 }
 
 // submit submits a gang with a spec of the given number of bytes.
-func (r *narrowRig) submit(t *testing.T, n, members, spec int) {
+func (r *narrowLinkDeployment) submit(t *testing.T, n, members, spec int) {
 	j := &graph.Job{
 		ID: graph.JobID(fmt.Sprintf("%016x", n+1)), Queue: "q", Service: "s", Account: "a", Priority: n % 2, MaxAttempts: 2, SlackFactor: 3,
 		Allowance: time.Second, Spec: strings.Repeat("x", spec), AcceptedAt: time.Now().UnixMilli(),
--- a/internal/host/entry/entry_test.go
+++ b/internal/host/entry/entry_test.go
@@ -78,17 +78,17 @@
 func (r fakeRelay) RelaySubmit(context.Context, *graph.Job) error          { return r.err }
 func (r fakeRelay) RelayCancel(context.Context, graph.JobID, Caller) error { return r.err }
 
-type rig struct {
+type fixture struct {
 	table  *rows.Table
 	link   *rows.Link
 	leader *fakeLeader
 	entry  *Entry
 }
 
-func newRig(peer error) *rig {
+func newFixture(peer error) *fixture {
 	t := rows.New(storeLatency)
 	l := rows.NewLink(t, rand.New(rand.NewPCG(1, 2)))
-	r := &rig{table: t, link: l, leader: &fakeLeader{cancelled: map[graph.JobID]bool{}, known: map[graph.JobID]view.JobStatus{}}}
+	r := &fixture{table: t, link: l, leader: &fakeLeader{cancelled: map[graph.JobID]bool{}, known: map[graph.JobID]view.JobStatus{}}}
 	r.entry = New(store.NewMonitor(l, dispatcher.JobKey(0, someJob), func(bool, error) {}), r.leader, fakeRelay{peer}, logr.Discard())
 	return r
 }
@@ -111,7 +111,7 @@
 func TestNextLeaderIsNotifiedOfJobFromTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(nil)
+		r := newFixture(nil)
 		r.leader.notLeading.Store(3)
 		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
 		time.Sleep(300 * time.Millisecond)
@@ -127,7 +127,7 @@
 func TestCancelIsKnownToLeaderWhenAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(nil)
+		r := newFixture(nil)
 		r.leader.latency = 30 * time.Millisecond
 		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
 		is.NoErr(r.entry.Cancel(ctx, someJob, kiosks))
@@ -140,7 +140,7 @@
 func TestCancelWithoutLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(nil)
+		r := newFixture(nil)
 		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
 		synctest.Wait() // until the leader is notified of the job
 		r.leader.unreachable = true
@@ -159,7 +159,7 @@
 func TestJobsOfOtherAccounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(nil)
+		r := newFixture(nil)
 		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
 		_, err := r.entry.Status(ctx, someJob, Caller{Account: "salons"})
 		is.True(errors.Is(err, ErrNoJob))
@@ -177,7 +177,7 @@
 func TestSubmitSettlesLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(ErrNotAccepted)
+		r := newFixture(ErrNotAccepted)
 		r.link.SetFaults(rows.Faults{LostAnswers: 1})
 		err := r.entry.Submit(ctx, job(someJob, "kiosks"))
 		is.True(r.table.Get(dispatcher.JobKey(partitionOf(someJob), someJob)).Version > 0) // it took effect
@@ -190,7 +190,7 @@
 func TestStatusErrorNamesBothCauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(ErrNotAccepted)
+		r := newFixture(ErrNotAccepted)
 		r.link.SetFaults(rows.Faults{Refuse: true})
 		_, err := r.entry.Status(ctx, someJob, kiosks)
 		is.True(errors.Is(err, ErrUnavailable))
@@ -205,7 +205,7 @@
 func TestSubmitOverLossyStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(ErrNotAccepted)
+		r := newFixture(ErrNotAccepted)
 		r.link.SetFaults(rows.Faults{LostAnswers: 0.6})
 		for i := range 50 {
 			began := time.Now()
@@ -219,7 +219,7 @@
 func TestSubmitLeavesClientTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(ErrNotAccepted)
+		r := newFixture(ErrNotAccepted)
 		r.link.SetFaults(rows.Faults{Unresponsive: true})
 		shortCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 		defer cancel()
@@ -237,7 +237,7 @@
 func TestSlowStoreIsAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(errors.New("a peer was called"))
+		r := newFixture(errors.New("a peer was called"))
 		r.link.SetFaults(rows.Faults{Latency: time.Second})
 		_, _ = r.entry.store.Read(ctx, store.Range{Table: "any"}) // so that the host measures the latency
 		slowCtx, cancel := context.WithTimeout(ctx, 3*time.Second)
@@ -261,7 +261,7 @@
 func TestUnresponsiveStoreIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(ErrNotAccepted)
+		r := newFixture(ErrNotAccepted)
 		running, end := context.WithCancel(ctx)
 		defer end()
 		go r.entry.store.Run(running)
@@ -290,7 +290,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				r := newRig(c.peer)
+				r := newFixture(c.peer)
 				r.link.SetFaults(rows.Faults{Refuse: true})
 				err := r.entry.Submit(ctx, job(someJob, "kiosks"))
 				is.True(errors.Is(err, c.want))
@@ -306,7 +306,7 @@
 func TestSubmitAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(nil)
+		r := newFixture(nil)
 		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
 		before := r.table.Get(dispatcher.JobKey(partitionOf(someJob), someJob)).Version
 		is.NoErr(r.entry.Submit(ctx, job(someJob, "kiosks")))
--- a/internal/host/leader/election_test.go
+++ b/internal/host/leader/election_test.go
@@ -17,7 +17,7 @@
 	"guavaglade.example/guavaglade/internal/standin/rows"
 )
 
-const transactionTime = 5 * time.Millisecond
+const storeLatency = 5 * time.Millisecond
 
 var errGone = errors.New("does not answer")
 
@@ -146,7 +146,7 @@
 func TestOneHostLeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := rows.New(transactionTime)
+		table := rows.New(storeLatency)
 		var hosts []*host
 		for i := range 5 {
 			hosts = append(hosts, startHost(table, string(rune('a'+i)), uint64(i)))
@@ -175,7 +175,7 @@
 func TestUnchangedRowIsTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := rows.New(transactionTime)
+		table := rows.New(storeLatency)
 		a, b := startHost(table, "a", 1), (*host)(nil)
 		time.Sleep(time.Second)
 		is.True(a.leads())
@@ -201,7 +201,7 @@
 // terms before and after. It fails if no single host leads afterwards, or if two hosts led
 // in the same term.
 func runEightHosts(t *testing.T, seed uint64, disturb func(hosts []*host)) (before, after int64) {
-	table := rows.New(transactionTime)
+	table := rows.New(storeLatency)
 	peers := &network{hosts: map[string]*host{}}
 	var hosts []*host
 	for i, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
@@ -359,7 +359,7 @@
 func TestSlowCandidateCheckDoesNotDelayRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := rows.New(transactionTime)
+		table := rows.New(storeLatency)
 		a := startHostWithPeers(slowPeers{}, table, "a", 1)
 		time.Sleep(time.Second)
 		b := startHostWithPeers(slowPeers{}, table, "b", 2)
@@ -376,7 +376,7 @@
 func TestLostAnswerIsReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := rows.New(transactionTime)
+		table := rows.New(storeLatency)
 		a := startHost(table, "a", 1)
 		a.link.SetFaults(rows.Faults{LostAnswers: 1})
 		time.Sleep(3 * time.Second)
@@ -390,7 +390,7 @@
 func TestMalformedRowIsTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := rows.New(transactionTime)
+		table := rows.New(storeLatency)
 		table.Put(leader.RowKey, []byte("{nonsense"))
 		a := startHost(table, "a", 1)
 		time.Sleep(3 * time.Second)
