--- a/internal/host/rpc/endpoint.go
+++ b/internal/host/rpc/endpoint.go
@@ -102,7 +102,7 @@
 	outcomes        func() burn.Snapshot             // counts of jobs that ended, as reported by this host
 	log             logr.Logger
 	mu              sync.Mutex
-	leaderHeardAt   time.Time          // when the leader last reported its reachability
+	leaderReportedAt   time.Time          // when the leader last reported its reachability
 	watchers        map[string]watcher // hosts that watch this one, by address
 	peers           []peerInfo         // hosts to which the store is available, as last listed by the leader
 	ranking         []peerInfo         // the last such list that was not empty
--- a/internal/host/rpc/relay.go
+++ b/internal/host/rpc/relay.go
@@ -110,7 +110,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Since(e.leaderHeardAt) >= reachableFor {
+	if time.Since(e.leaderReportedAt) >= reachableFor {
 		return false
 	}
 	return len(e.peers) > 0 || e.reach.StoreUp || e.reach.Zones >= e.maxZones
--- a/internal/host/rpc/watch.go
+++ b/internal/host/rpc/watch.go
@@ -213,7 +213,7 @@
 		return out.Row, nil
 	}
 	e.mu.Lock()
-	e.peers, e.reach, e.leaderHeardAt = out.Peers, out.Reach, time.Now()
+	e.peers, e.reach, e.leaderReportedAt = out.Peers, out.Reach, time.Now()
 	e.maxZones = max(e.maxZones, out.Reach.Zones)
 	if len(out.Peers) > 0 {
 		e.ranking = out.Peers
@@ -230,7 +230,7 @@
 func (e *Endpoint) leaderLost() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaderHeardAt = time.Time{}
+	e.leaderReportedAt = time.Time{}
 }
 
 // maxOtherPeers bounds how many hosts are asked which leader they watch.
--- a/internal/work/dispatch/advice.go
+++ b/internal/work/dispatch/advice.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// stepOf returns a step of an occurrence that has begun, or nil.
+// stepOf returns a step of an open occurrence, or nil.
 func (m *Machine) stepOf(id graph.StepID) *step {
 	j := m.jobs[id.Job]
 	if j == nil {
--- a/internal/work/dispatch/health.go
+++ b/internal/work/dispatch/health.go
@@ -35,8 +35,8 @@
 	return max(worked, 0)
 }
 
-// unknownWork is the time worked that is assumed for a run that was not reported as begun: its
-// failure must not count as early.
+// unknownWork is the time worked that is assumed for a run that was not reported as begun:
+// its failure must not count as early.
 const unknownWork = 1<<63 - 1
 
 // recordHealthyRun counts a run that makes progress as evidence that its target is
