--- a/internal/host/rpc/endpoint.go
+++ b/internal/host/rpc/endpoint.go
@@ -88,29 +88,29 @@
 
 // Endpoint makes calls to peers and answers theirs.
 type Endpoint struct {
-	transport       *peer.Transport
-	address         string  // of this host, for peers
-	zone            string  // availability zone of this host; empty if unknown
-	cores           float64 // of this host
-	election        Election
-	writer          JobWriter
-	storeUp         func() bool      // whether the store is available to this host
-	storeAnsweredAt func() time.Time // when the store last answered
-	dispatcher      Dispatcher
-	keeper          *catalog.Keeper
-	adopted         func(version int64, from string) // called for a configuration that a peer had
-	outcomes        func() burn.Snapshot             // counts of jobs that ended, as reported by this host
-	log             logr.Logger
-	mu              sync.Mutex
-	leaderReportedAt   time.Time          // when the leader last reported its reachability
-	watchers        map[string]watcher // hosts that watch this one, by address
-	peers           []peerInfo         // hosts to which the store is available, as last listed by the leader
-	ranking         []peerInfo         // the last such list that was not empty
-	reach           reachability       // of the leader, as last reported
-	maxZones        int                // the most zones that a leader reached at once
-	listed          []peerInfo         // sent to watchers, immutable; nil before the first
-	listedAt        time.Time          // when listed was made
-	pendingCounts   map[string]pendingCount
+	transport        *peer.Transport
+	address          string  // of this host, for peers
+	zone             string  // availability zone of this host; empty if unknown
+	cores            float64 // of this host
+	election         Election
+	writer           JobWriter
+	storeUp          func() bool      // whether the store is available to this host
+	storeAnsweredAt  func() time.Time // when the store last answered
+	dispatcher       Dispatcher
+	keeper           *catalog.Keeper
+	adopted          func(version int64, from string) // called for a configuration that a peer had
+	outcomes         func() burn.Snapshot             // counts of jobs that ended, as reported by this host
+	log              logr.Logger
+	mu               sync.Mutex
+	leaderReportedAt time.Time          // when the leader last reported its reachability
+	watchers         map[string]watcher // hosts that watch this one, by address
+	peers            []peerInfo         // hosts to which the store is available, as last listed by the leader
+	ranking          []peerInfo         // the last such list that was not empty
+	reach            reachability       // of the leader, as last reported
+	maxZones         int                // the most zones that a leader reached at once
+	listed           []peerInfo         // sent to watchers, immutable; nil before the first
+	listedAt         time.Time          // when listed was made
+	pendingCounts    map[string]pendingCount
 }
 
 // Option sets one property of a new endpoint.
--- a/internal/operator/command/check.go
+++ b/internal/operator/command/check.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return checkResult{}, err
 	}
-	if settings.Are(body) {
+	if settings.IsSettings(body) {
 		return checkSettings(file, body)
 	}
 	return checkConfiguration(file, body)
