--- a/internal/host/api/api.go
+++ b/internal/host/api/api.go
@@ -41,7 +41,7 @@
 func (a *API) Handler() http.Handler {
 	router := a.router()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		r.Body = http.MaxBytesReader(w, r.Body, int64(a.settings.Load().MaxBody()))
+		r.Body = http.MaxBytesReader(w, r.Body, int64(a.settings.Load().MaxBodyBytes()))
 		router.ServeHTTP(w, r)
 	})
 }
--- a/internal/host/process/process.go
+++ b/internal/host/process/process.go
@@ -69,7 +69,7 @@
 	p.scheduler = scheduler.New(id, ports, scheduler.Configuration{Key: version.Key, Decode: version.DecodeCatalog}, log, opts...)
 	p.api = api.New(p.scheduler, s, metricsHandler)
 	p.http = &http.Server{
-		Handler: p.api.Handler(), MaxHeaderBytes: s.MaxHeader(),
+		Handler: p.api.Handler(), MaxHeaderBytes: s.MaxHeaderBytes(),
 		ReadTimeout: s.RequestTimeout(), ReadHeaderTimeout: s.RequestTimeout(), WriteTimeout: s.MaxWait() + s.RequestTimeout(),
 	}
 	return p, nil
--- a/internal/host/settings/settings.go
+++ b/internal/host/settings/settings.go
@@ -29,8 +29,8 @@
 
 // Limits bound the requests and connections of one host, and the time of a planned stop.
 type Limits struct {
-	MaxBody        int           // bytes of a request's body
-	MaxHeader      int           // bytes of a request's headers
+	MaxBodyBytes   int           // bytes of a request's body
+	MaxHeaderBytes int           // bytes of a request's headers
 	MaxConnections int           // open connections of callers
 	RequestTimeout time.Duration // to read a request, and to write a response
 	MaxWait        time.Duration // longest ?wait= of a caller
@@ -72,8 +72,8 @@
 	return Settings{
 		logLevel: "info",
 		limits: Limits{
-			MaxBody:        1 << 20,
-			MaxHeader:      16 << 10,
+			MaxBodyBytes:   1 << 20,
+			MaxHeaderBytes: 16 << 10,
 			MaxConnections: 4096,
 			RequestTimeout: 10 * time.Second,
 			MaxWait:        60 * time.Second,
@@ -103,11 +103,11 @@
 // while no configuration is in force; empty for none.
 func (s Settings) OperatorKeyHash() string { return s.operatorKeyHash }
 
-// MaxBody returns the maximum size of a request's body in bytes.
-func (s Settings) MaxBody() int { return s.limits.MaxBody }
+// MaxBodyBytes returns the maximum size of a request's body in bytes.
+func (s Settings) MaxBodyBytes() int { return s.limits.MaxBodyBytes }
 
-// MaxHeader returns the maximum size of a request's headers in bytes.
-func (s Settings) MaxHeader() int { return s.limits.MaxHeader }
+// MaxHeaderBytes returns the maximum size of a request's headers in bytes.
+func (s Settings) MaxHeaderBytes() int { return s.limits.MaxHeaderBytes }
 
 // MaxConnections returns the maximum number of open connections of callers.
 func (s Settings) MaxConnections() int { return s.limits.MaxConnections }
--- a/internal/host/settings/settings_test.go
+++ b/internal/host/settings/settings_test.go
@@ -35,7 +35,7 @@
 	is.Equal(s.Zone(), "bajio-1")
 	is.Equal(s.Platform(), "127.0.0.1:7000")
 	is.Equal(s.MaxWait(), 90*time.Second)
-	is.Equal(s.MaxBody(), 1<<20)
+	is.Equal(s.MaxBodyBytes(), 1<<20)
 }
 
 func TestParseErrors(t *testing.T) {
@@ -135,10 +135,10 @@
 	now, done := s.Reload(next)
 	is.Equal(done, settings.ReloadResult{Changed: []string{"host.logLevel", "limits.maxBody"}, NeedRestart: []string{"host.zone", "limits.maxWait"}})
 	is.Equal(now.LogLevel(), slog.LevelDebug)
-	is.Equal(now.MaxBody(), 7)
+	is.Equal(now.MaxBodyBytes(), 7)
 	is.Equal(now.Zone(), "bajio-1")
 	is.Equal(now.MaxWait(), 90*time.Second)
-	is.Equal(s.MaxBody(), 1<<20) // the earlier settings are unchanged
+	is.Equal(s.MaxBodyBytes(), 1<<20) // the earlier settings are unchanged
 	_, done = now.Reload(now)
 	is.Equal(done, settings.ReloadResult{})
 }
