--- a/internal/host/leader/doc.go
+++ b/internal/host/leader/doc.go
@@ -9,7 +9,7 @@
 // unavailable to all hosts, no host can take over and the leader continues.
 //
 // A leader that cannot write its row keeps sending orders for at most Grace, since it
-// may be the only isolated host. The first order of the next leader to a target
+// may be the only disconnected host. The first order of the next leader to a target
 // fences off the old one there. On targets that the next leader does not reach, Grace
 // and the longest target lease limit what the old one can do.
 package leader
--- a/internal/host/leader/election_test.go
+++ b/internal/host/leader/election_test.go
@@ -169,7 +169,7 @@
 	})
 }
 
-// The leader is isolated from the store and does not know whether others reach it. Its row
+// The leader is disconnected from the store and does not know whether others reach it. Its row
 // does not change for Lease, and another host takes it over. The old leader may send orders
 // for no longer than Grace.
 func TestUnchangedRowIsTakenOver(t *testing.T) {
@@ -307,8 +307,8 @@
 	}
 }
 
-// The leader is isolated from the store, another host takes the row over, and the connection
-// is restored while the first one reads back its last write. It found the new row and
+// The leader is disconnected from the store, another host takes the row over, and the
+// connection is restored while the first one reads back its last write. It found the new row and
 // overwrote it, using the version just read. The next host to take over got a term that was
 // already in use, and two leaders started the same tasks with one fencing token.
 func TestSupersededLeaderDoesNotOverwriteRow(t *testing.T) {
--- a/internal/host/leader/leading.go
+++ b/internal/host/leader/leading.go
@@ -105,7 +105,7 @@
 	if !t.Valid(e.clock()) {
 		return 0, fmt.Errorf("leader row not written for %s: %w", Grace, err)
 	}
-	if e.clock().Sub(t.lastRenewal()) > RenewInterval+RenewInterval/2 && e.isolated(ctx) {
+	if e.clock().Sub(t.lastRenewal()) > RenewInterval+RenewInterval/2 && e.disconnected(ctx) {
 		return version, fmt.Errorf("store unavailable to this host only: %w", err)
 	}
 	found, superseded := e.ownVersion(*r) // the check above may have read a newer row
@@ -131,20 +131,20 @@
 	return e.version, nil
 }
 
-// isolationTimeout bounds the read by which a leader checks whether the store is
+// storeCheckTimeout bounds the read by which a leader checks whether the store is
 // available to it again. A slow store takes a third of it. A leader whose calls to the
-// store are not answered resigns later by as much.
-const isolationTimeout = 300 * time.Millisecond
+// store are not answered resigns that much later.
+const storeCheckTimeout = 300 * time.Millisecond
 
-// isolated reports whether the store is available to other hosts and not to this one.
+// disconnected reports whether the store is available to other hosts and not to this one.
 // The write that failed may have been sent during an outage for all hosts, and by the
 // time that the store is available to others it is to this host as well. So this host
 // reads the row after the others did, whose reads may have waited for the outage to end.
-func (e *Election) isolated(ctx context.Context) bool {
+func (e *Election) disconnected(ctx context.Context) bool {
 	if len(e.peers.Candidates(ctx, 0)) == 0 {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, isolationTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeCheckTimeout)
 	defer cancel()
 	return e.ReadRow(ctx) != nil
 }
--- a/internal/host/rpc/endpoint.go
+++ b/internal/host/rpc/endpoint.go
@@ -42,7 +42,7 @@
 	// watchDelay is how long the leader delays its answer to a watch: about a third of
 	// leader.Lease.
 	watchDelay = 400 * time.Millisecond
-	// watchTimeout bounds a watch, so that an isolated leader is detected.
+	// watchTimeout bounds a watch, so that a disconnected leader is detected.
 	watchTimeout = watchDelay + 500*time.Millisecond
 	// callTimeout bounds every other call. Within a zone a call takes a millisecond.
 	callTimeout = 400 * time.Millisecond
@@ -55,7 +55,7 @@
 	watcherExpiry = 2 * time.Second
 	// reachableFor is how long after its last message a host or the store counts as
 	// reachable: in normal operation a message comes from each within 600 ms. In that time
-	// clients of an isolated zone are still sent there and refused; the balancer needs
+	// clients of a disconnected zone are still sent there and refused; the balancer needs
 	// more than one failed readiness check to send them elsewhere.
 	reachableFor = 800 * time.Millisecond
 )
--- a/internal/host/rpc/endpoint_test.go
+++ b/internal/host/rpc/endpoint_test.go
@@ -278,8 +278,8 @@
 	})
 }
 
-// In an isolated zone no host can store anything. Each reports that it cannot serve, and the
-// balancer sends clients to other zones.
+// In a disconnected zone no host can store anything. Each reports that it cannot serve, and
+// the balancer sends clients to other zones.
 func TestCanServeOnlyWithAccessToStore(t *testing.T) {
 	withHosts(t, 2, func(ctx context.Context, is *is.I, hosts []*host) {
 		_, err := hosts[1].Watch(ctx, hosts[0].address, 1)
@@ -293,10 +293,10 @@
 	})
 }
 
-// A zone with the leader in it is isolated. Its hosts reached their leader and reported that
-// they could serve, so all clients of the zone were refused until it was connected again,
-// although hosts of other zones could have served them.
-func TestZoneIsolatedWithLeaderCannotServe(t *testing.T) {
+// A zone with the leader in it is disconnected. Its hosts reached their leader and reported
+// that they could serve, so all clients of the zone were refused until it was connected
+// again, although hosts of other zones could have served them.
+func TestZoneDisconnectedWithLeaderCannotServe(t *testing.T) {
 	withHosts(t, 4, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 4, hosts[0], hosts[1:]...)
 		for _, h := range hosts {
@@ -315,11 +315,11 @@
 	})
 }
 
-// A zone is isolated. One of its hosts led until then, and the other hosts of the zone keep
+// A zone is disconnected. One of its hosts led until then, and its other hosts keep
 // calling it. The reports it received before it led, and the calls of the others, are no
 // evidence that it can serve. As long as one host of the zone reports that it can, the
 // balancer sends all clients of the zone there.
-func TestFormerLeaderInIsolatedZoneCannotServe(t *testing.T) {
+func TestFormerLeaderInDisconnectedZoneCannotServe(t *testing.T) {
 	withHosts(t, 4, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 2, hosts[0], hosts[1], hosts[2])
 		hosts[0].election.term, hosts[0].dispatcher.leads = nil, false
@@ -337,9 +337,9 @@
 	})
 }
 
-// A zone is isolated without broken connections, and the store counts as down a second later
-// at the earliest. A host that has no answer from the store or the leader, for longer than
-// the interval between answers in normal operation, reports at once that it cannot serve.
+// A zone is disconnected, but its connections are not reset, and the store counts as down a
+// second later at the earliest. A host that has no answer from the store or the leader for
+// longer than is normal reports at once that it cannot serve.
 func TestUnresponsiveStoreAndLeaderAreDetected(t *testing.T) {
 	withHosts(t, 2, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 1, hosts[0], hosts[1])
@@ -352,8 +352,8 @@
 	})
 }
 
-// A zone is isolated and connections are reset: the leader is unreachable, and the store is
-// down. The leader's last report is no longer valid, however recent.
+// A zone is disconnected and its connections are reset: the leader is unreachable, and the
+// store is down. The leader's last report is no longer valid, however recent.
 func TestReportOfUnreachableLeaderIsDropped(t *testing.T) {
 	withHosts(t, 2, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 1, hosts[0], hosts[1])
--- a/internal/host/scheduler/evacuation_test.go
+++ b/internal/host/scheduler/evacuation_test.go
@@ -47,7 +47,7 @@
 	is.NoErr(<-r.ended)
 }
 
-// The store refuses a host for a while, and a zone is evacuated meanwhile. What the host
+// The store refuses a host for a while, and a zone is evacuated in that time. What the host
 // read before must not count as current until the store serves it again.
 func TestEvacuationsOfAHostRefusedByTheStore(t *testing.T) {
 	is := is.New(t)
--- a/internal/host/scheduler/freshness.go
+++ b/internal/host/scheduler/freshness.go
@@ -19,7 +19,7 @@
 )
 
 // freshness tracks when the configuration was last confirmed to be the newest. A process
-// that was paused for seconds does not know what changed meanwhile. Without waiting, it
+// that was paused for seconds does not know what changed since. Without waiting, it
 // would serve some of the requests that arrived during the pause by the old
 // configuration, with keys and queues that were removed, and others by the new one.
 type freshness struct {
--- a/internal/proof/deployment/faults_test.go
+++ b/internal/proof/deployment/faults_test.go
@@ -137,7 +137,7 @@
 
 // disconnectZone disconnects one host and one rack from everything else.
 func (d *deployment) disconnectZone(which int) {
-	isolated, zone := d.host(which), fmt.Sprintf("zone%d", which%3)
+	disconnected, zone := d.host(which), fmt.Sprintf("zone%d", which%3)
 	inside, outside := map[string]bool{}, map[string]bool{}
 	d.pool.Do(func(p *pool.Pool, _ time.Time) {
 		for _, t := range p.Roster() {
@@ -145,15 +145,15 @@
 		}
 	})
 	for _, h := range d.hosts {
-		if h == isolated || h.down {
+		if h == disconnected || h.down {
 			continue
 		}
-		d.network.setDisconnected(h.address, isolated.address, true)
+		d.network.setDisconnected(h.address, disconnected.address, true)
 		h.transport.SetFaults(pool.Faults{Unreachable: inside})
 	}
-	if !isolated.down {
-		isolated.storeLink.SetFaults(rows.Faults{Unresponsive: true})
-		isolated.transport.SetFaults(pool.Faults{Unreachable: outside})
+	if !disconnected.down {
+		disconnected.storeLink.SetFaults(rows.Faults{Unresponsive: true})
+		disconnected.transport.SetFaults(pool.Faults{Unreachable: outside})
 	}
 }
 
--- a/internal/proof/deployment/target_test.go
+++ b/internal/proof/deployment/target_test.go
@@ -26,7 +26,7 @@
 
 // Orders are executed and their answers lost, or they are executed seconds later, after
 // newer ones. A run whose start was not answered keeps its capacity until a stop is
-// answered, so no target is overcommitted, and its task is started nowhere else meanwhile.
+// answered, so no target is overcommitted, and until then its task is started nowhere else.
 func TestOrdersLostOrLate(t *testing.T) {
 	for name, faults := range map[string]pool.Faults{
 		"lost": {LostAnswers: 0.1}, "late": {LateOrders: 0.1, LateBy: 4 * time.Second}, "both": {LostAnswers: 0.1, LateOrders: 0.1, LateBy: 7 * time.Second},
--- a/internal/proof/soak/proxy_test.go
+++ b/internal/proof/soak/proxy_test.go
@@ -11,7 +11,7 @@
 type mode int
 
 // Modes of a proxy. Data that is held is forwarded when the mode ends, as a network
-// would retransmit it; connections made meanwhile hang.
+// would retransmit it; connections made in that time hang.
 const (
 	modePass mode = iota
 	modeDelay
