--- a/internal/fleet/order/instrumented.go
+++ b/internal/fleet/order/instrumented.go
@@ -16,7 +16,7 @@
 	"unhealthy": ErrUnhealthy, "otherLife": ErrOtherIncarnation, "unreached": ErrUnreached, "unanswered": ErrUnanswered,
 }
 
-// Instrumented is a Transport that counts orders by outcome and measures their latency.
+// Instrumented wraps a transport. It counts orders by outcome and records their latency.
 type Instrumented struct {
 	Transport
 	orders map[string]*orderMetrics
@@ -28,7 +28,7 @@
 	latency tally.Histogram
 }
 
-// NewInstrumented returns a transport that sends through the given one and reports to scope.
+// NewInstrumented returns a transport that reports metrics to a scope.
 func NewInstrumented(t Transport, scope tally.Scope) *Instrumented {
 	i := &Instrumented{Transport: t, orders: map[string]*orderMetrics{}}
 	for _, order := range []string{"start", "stop", "hold", "pace"} {
--- a/internal/host/dispatcher/listing_test.go
+++ b/internal/host/dispatcher/listing_test.go
@@ -28,7 +28,7 @@
 }
 
 // Reading the list of targets takes 0.6 s. If the interval counted from the end of the
-// last read, the list would get up to 2.2 s old, past ListAge, and nothing would start
+// last read, the list would get up to 2.2 s old, past MaxListAge, and nothing would start
 // for a part of each interval.
 func TestListIntervalCountsFromStartOfLastRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/host/dispatcher/safety_test.go
+++ b/internal/host/dispatcher/safety_test.go
@@ -83,8 +83,8 @@
 
 func somePartition() int { return dispatch.PartitionOf(someJob, Partitions) }
 
-// A leader does not know that it was succeeded. Its writes of progress after the successor
-// wrote its fence rows must fail: the successor has read the rows.
+// A leader does not know that it was superseded. Its writes of progress must fail once the
+// next leader has written its fence rows, since that leader reads the progress then.
 func TestProgressIsWrittenUnderFence(t *testing.T) {
 	is := is.New(t)
 	table, l, c := newFenced()
--- a/internal/host/leader/election_test.go
+++ b/internal/host/leader/election_test.go
@@ -308,9 +308,9 @@
 }
 
 // The leader is disconnected from the store, another host takes the row over, and the
-// connection is restored while the first one reads back its last write. It found the new row and
-// overwrote it, using the version just read. The next host to take over got a term that was
-// already in use, and two leaders started the same tasks with one fencing token.
+// connection is restored while the first one reads back its last write. It found the new
+// row and overwrote it, using the version just read. The next host to take over got a term
+// that was already in use, and two leaders started the same tasks with one fencing token.
 func TestSupersededLeaderDoesNotOverwriteRow(t *testing.T) {
 	for seed := range uint64(80) {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/host/rpc/endpoint.go
+++ b/internal/host/rpc/endpoint.go
@@ -55,8 +55,8 @@
 	watcherExpiry = 2 * time.Second
 	// reachableFor is how long after its last message a host or the store counts as
 	// reachable: in normal operation a message comes from each within 600 ms. In that time
-	// clients of a disconnected zone are still sent there and refused; the balancer needs
-	// more than one failed readiness check to send them elsewhere.
+	// clients of a disconnected zone are still sent there and refused; the load balancer
+	// needs more than one failed readiness check to send them elsewhere.
 	reachableFor = 800 * time.Millisecond
 )
 
@@ -99,7 +99,7 @@
 	dispatcher       Dispatcher
 	keeper           *catalog.Keeper
 	adopted          func(version int64, from string) // called for a configuration that a peer had
-	outcomes         func() burn.Snapshot             // counts of jobs that ended, as reported by this host
+	burnSnapshot         func() burn.Snapshot             // counts of jobs that ended, as reported by this host
 	log              logr.Logger
 	mu               sync.Mutex
 	leaderReportedAt time.Time          // when the leader last reported its reachability
@@ -130,7 +130,7 @@
 
 // WithBurnSnapshot sets the function that returns the host's counts of jobs that ended. By
 // default there are none.
-func WithBurnSnapshot(f func() burn.Snapshot) Option { return func(e *Endpoint) { e.outcomes = f } }
+func WithBurnSnapshot(f func() burn.Snapshot) Option { return func(e *Endpoint) { e.burnSnapshot = f } }
 
 // WithStoreAnswered sets the function that returns when the store last answered the host.
 // The default is the current time.
@@ -147,7 +147,7 @@
 func New(address string, d Dispatcher, k *catalog.Keeper, storeUp func() bool, opts ...Option) *Endpoint {
 	e := &Endpoint{
 		address: address, dispatcher: d, keeper: k, storeUp: storeUp, watchers: map[string]watcher{}, pendingCounts: map[string]pendingCount{}, log: logr.Discard(), storeAnsweredAt: time.Now,
-		adopted: func(int64, string) {}, outcomes: func() burn.Snapshot { return burn.Snapshot{} },
+		adopted: func(int64, string) {}, burnSnapshot: func() burn.Snapshot { return burn.Snapshot{} },
 	}
 	for _, o := range opts {
 		o(e)
@@ -201,7 +201,7 @@
 	case methodInForce:
 		return e.localInForce(), nil
 	case methodBurn:
-		return e.outcomes(), nil
+		return e.burnSnapshot(), nil
 	}
 	return nil, fmt.Errorf("%s: %w", method, peer.ErrNoMethod)
 }
--- a/internal/host/rpc/endpoint_test.go
+++ b/internal/host/rpc/endpoint_test.go
@@ -279,7 +279,7 @@
 }
 
 // In a disconnected zone no host can store anything. Each reports that it cannot serve, and
-// the balancer sends clients to other zones.
+// the load balancer sends clients to other zones.
 func TestCanServeOnlyWithAccessToStore(t *testing.T) {
 	withHosts(t, 2, func(ctx context.Context, is *is.I, hosts []*host) {
 		_, err := hosts[1].Watch(ctx, hosts[0].address, 1)
@@ -318,7 +318,7 @@
 // A zone is disconnected. One of its hosts led until then, and its other hosts keep
 // calling it. The reports it received before it led, and the calls of the others, are no
 // evidence that it can serve. As long as one host of the zone reports that it can, the
-// balancer sends all clients of the zone there.
+// load balancer sends all clients of the zone there.
 func TestFormerLeaderInDisconnectedZoneCannotServe(t *testing.T) {
 	withHosts(t, 4, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 2, hosts[0], hosts[1], hosts[2])
--- a/internal/host/rpc/views.go
+++ b/internal/host/rpc/views.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return burn.Snapshot{}, fmt.Errorf("burn report: %w", err)
 	}
-	snapshots := []burn.Snapshot{e.outcomes()}
+	snapshots := []burn.Snapshot{e.burnSnapshot()}
 	for _, h := range hosts {
 		if h.Host == e.address {
 			continue
--- a/internal/platform/store/instrumented.go
+++ b/internal/platform/store/instrumented.go
@@ -23,18 +23,18 @@
 
 // NewInstrumented returns a store that reports metrics to a scope.
 func NewInstrumented(s Store, scope tally.Scope) *Instrumented {
-	c := &Instrumented{Store: s, calls: map[string]*callMetrics{}}
+	i := &Instrumented{Store: s, calls: map[string]*callMetrics{}}
 	for _, call := range []string{"commit", "read", "changes"} {
 		tagged := scope.Tagged(map[string]string{"call": call})
 		outcome := func(name string) tally.Counter {
 			return tagged.Tagged(map[string]string{"outcome": name}).Counter("store_calls_total")
 		}
-		c.calls[call] = &callMetrics{
+		i.calls[call] = &callMetrics{
 			ok: outcome("ok"), conflict: outcome("conflict"), unavailable: outcome("unavailable"), unknown: outcome("unknown"),
 			latency: tagged.Histogram("store_seconds", metrics.LatencyBuckets),
 		}
 	}
-	return c
+	return i
 }
 
 func (m *callMetrics) observe(start time.Time, err error) {
@@ -52,25 +52,25 @@
 }
 
 // Commit implements Store.
-func (c *Instrumented) Commit(ctx context.Context, tx Tx) (Result, error) {
+func (i *Instrumented) Commit(ctx context.Context, tx Tx) (Result, error) {
 	start := time.Now()
-	res, err := c.Store.Commit(ctx, tx)
-	c.calls["commit"].observe(start, err)
+	res, err := i.Store.Commit(ctx, tx)
+	i.calls["commit"].observe(start, err)
 	return res, err
 }
 
 // Read implements Store.
-func (c *Instrumented) Read(ctx context.Context, r Range) (Page, error) {
+func (i *Instrumented) Read(ctx context.Context, r Range) (Page, error) {
 	start := time.Now()
-	page, err := c.Store.Read(ctx, r)
-	c.calls["read"].observe(start, err)
+	page, err := i.Store.Read(ctx, r)
+	i.calls["read"].observe(start, err)
 	return page, err
 }
 
 // Changes implements Store.
-func (c *Instrumented) Changes(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
+func (i *Instrumented) Changes(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
 	start := time.Now()
-	page, err := c.Store.Changes(ctx, table, after, wait)
-	c.calls["changes"].observe(start, err)
+	page, err := i.Store.Changes(ctx, table, after, wait)
+	i.calls["changes"].observe(start, err)
 	return page, err
 }
--- a/internal/work/dispatch/gang.go
+++ b/internal/work/dispatch/gang.go
@@ -10,7 +10,7 @@
 )
 
 // placeGang places all tasks of a gang or none. It always returns true, since the step
-// stays open until it is done.
+// stays pending until it is done.
 func (m *Machine) placeGang(s *step, now time.Time) bool {
 	for _, x := range s.tasks {
 		if len(x.runs) > 0 {
--- a/internal/work/progress/progress_test.go
+++ b/internal/work/progress/progress_test.go
@@ -11,7 +11,7 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// Progress that a leader records decodes to the same value for its successor.
+// Progress that a leader records decodes to the same value for the next leader.
 func TestRoundTrip(t *testing.T) {
 	is := is.New(t)
 	j := &progress.Job{State: progress.Running, Started: true, Steps: map[string]*progress.Step{
