--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -430,7 +430,7 @@
 }
 
 // nextListTimeout returns the timeout of the next read of the list after one that took
-// so long. It is shorter than storeTimeout in general: a lost answer must not hold up
+// the given time. It is shorter than storeTimeout in general: a lost answer must not hold up
 // placement that long.
 func nextListTimeout(took time.Duration) time.Duration {
 	return min(max(minListTimeout, listTimeoutFactor*took), storeTimeout)
--- a/internal/host/rpc/endpoint.go
+++ b/internal/host/rpc/endpoint.go
@@ -99,7 +99,7 @@
 	dispatcher       Dispatcher
 	keeper           *catalog.Keeper
 	adopted          func(version int64, from string) // called for a configuration that a peer had
-	burnSnapshot         func() burn.Snapshot             // counts of jobs that ended, as reported by this host
+	burnSnapshot     func() burn.Snapshot             // counts of jobs that ended, as reported by this host
 	log              logr.Logger
 	mu               sync.Mutex
 	leaderReportedAt time.Time          // when the leader last reported its reachability
--- a/internal/proof/deployment/basic_test.go
+++ b/internal/proof/deployment/basic_test.go
@@ -11,7 +11,7 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// needs returns the resources of a task with so many accelerators.
+// needs returns the resources of a task with the given number of accelerators.
 func needs(accelerators int) graph.Resources {
 	return graph.Resources{CPU: 2000 * accelerators, MemoryMB: 8000, Accelerators: accelerators}
 }
--- a/internal/proof/deployment/deployment_test.go
+++ b/internal/proof/deployment/deployment_test.go
@@ -88,7 +88,8 @@
 	return s.accepted, s.cancelled, s.state
 }
 
-// newDeployment starts a deployment with so many hosts and racks of four targets.
+// newDeployment starts a deployment with the given numbers of hosts and of racks, each
+// of four targets.
 func newDeployment(t testing.TB, seed uint64, hosts, racks int) *deployment {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &deployment{
@@ -228,7 +229,7 @@
 	}
 }
 
-// succeedsAfter returns the behaviour of tasks that take so long and never fail.
+// succeedsAfter returns the behaviour of tasks that take the given time and never fail.
 func succeedsAfter(d time.Duration) pool.Behaviour {
 	return pool.Behaviour{Work: func(graph.TaskID) time.Duration { return d }}
 }
