--- a/internal/fleet/limiter/limiter.go
+++ b/internal/fleet/limiter/limiter.go
@@ -30,10 +30,10 @@
 	minPendingStarts = 32
 	// An order counts against the limit for at most expiryDelays mean delays, but at
 	// least minExpiry. Without that bound, orders to targets that do not answer would
-	// count until their time-outs, and an unreachable zone would use up the whole limit.
+	// count until their timeouts, and an unreachable zone would use up the whole limit.
 	expiryDelays = 4
-	// fairnessInterval is how often the order that has waited longest is admitted: once
-	// in so many admissions.
+	// fairnessInterval is the number of admissions of which one goes to the order that has
+	// waited longest.
 	fairnessInterval = 4
 	minExpiry        = 40 * time.Millisecond
 )
@@ -58,8 +58,8 @@
 	ready      chan struct{} // closed when it is admitted
 }
 
-// NewLimiter returns a limiter that measures delays by the clock.
-func NewLimiter(clock func() time.Time) *Limiter {
+// New returns a limiter that measures delays by the clock.
+func New(clock func() time.Time) *Limiter {
 	return &Limiter{clock: clock, limit: newLimit(), rate: rate{perSecond: initialRate}}
 }
 
--- a/internal/host/api/jobs.go
+++ b/internal/host/api/jobs.go
@@ -94,7 +94,7 @@
 // awaitEnd returns the status of a job once it has ended or the deadline has passed.
 func (a *API) awaitEnd(ctx context.Context, id graph.JobID, by entry.Caller, until time.Time) (view.JobStatus, error) {
 	for interval := minPollInterval; ; interval = min(2*interval, maxPollInterval) {
-		status, err := a.scheduler.Entry().State(ctx, id, by)
+		status, err := a.scheduler.Entry().Status(ctx, id, by)
 		remaining := time.Until(until)
 		if errors.Is(err, entry.ErrNoJob) || err == nil && status.State.Final() || remaining <= 0 {
 			return status, err
--- a/internal/host/api/views.go
+++ b/internal/host/api/views.go
@@ -64,7 +64,7 @@
 // storedHistory answers for a job that the leader does not know. A job is stored before
 // the leader is notified, so a job that was just accepted exists but has no history yet.
 func (v Views) storedHistory(w http.ResponseWriter, r *http.Request, id graph.JobID, by entry.Caller) {
-	status, err := v.scheduler.Entry().State(r.Context(), id, by)
+	status, err := v.scheduler.Entry().Status(r.Context(), id, by)
 	if err != nil {
 		writeJobError(w, id, err)
 		return
--- a/internal/host/rpc/endpoint.go
+++ b/internal/host/rpc/endpoint.go
@@ -25,7 +25,7 @@
 	methodTransfer  = "succeed"
 	methodSubmitted = "submitted"
 	methodCancelled = "cancelled"
-	methodState     = "state"
+	methodStatus    = "state"
 	methodPending   = "pending"
 	methodCatalog   = "catalog"
 	methodSubmit    = "submit"
@@ -42,7 +42,7 @@
 	// watchDelay is how long the leader delays its answer to a watch: about a third of
 	// leader.Lease.
 	watchDelay = 400 * time.Millisecond
-	// watchTimeout bounds a watch, so that a leader that is cut off is detected.
+	// watchTimeout bounds a watch, so that a disconnected leader is detected.
 	watchTimeout = watchDelay + 500*time.Millisecond
 	// callTimeout bounds every other call. Within a zone a call takes a millisecond.
 	callTimeout = 400 * time.Millisecond
@@ -54,9 +54,9 @@
 	// watcherExpiry is how long after its last watch a host counts as alive.
 	watcherExpiry = 2 * time.Second
 	// reachableFor is how long after its last message a host or the store counts as
-	// reachable: in normal operation each is heard from within 600 ms. In that time clients
-	// of a zone that is cut off are still sent there and refused; the balancer needs more
-	// than one failed readiness check to send them elsewhere.
+	// reachable: in normal operation a message comes from each within 600 ms. In that time
+	// clients of a disconnected zone are still sent there and refused; the load balancer
+	// needs more than one failed readiness check to send them elsewhere.
 	reachableFor = 800 * time.Millisecond
 )
 
@@ -79,7 +79,7 @@
 type Dispatcher interface {
 	Submitted(ctx context.Context, j *graph.Job) error
 	Cancelled(ctx context.Context, id graph.JobID) error
-	State(ctx context.Context, id graph.JobID) (status view.JobStatus, known bool, err error)
+	Status(ctx context.Context, id graph.JobID) (status view.JobStatus, known bool, err error)
 	Pending(ctx context.Context, queue string) (int, error)
 	Jobs(ctx context.Context, account string) ([]view.Job, error)
 	History(ctx context.Context, id graph.JobID) (history view.History, known bool, err error)
@@ -88,29 +88,29 @@
 
 // Endpoint makes calls to peers and answers theirs.
 type Endpoint struct {
-	transport       *peer.Transport
-	address         string  // of this host, for peers
-	zone            string  // availability zone of this host; empty if unknown
-	cores           float64 // of this host
-	election        Election
-	writer          JobWriter
-	storeUp         func() bool      // whether the store is available to this host
-	storeAnsweredAt func() time.Time // when the store last answered
-	dispatcher      Dispatcher
-	keeper          *catalog.Keeper
-	adopted         func(version int64, from string) // called for a configuration that a peer had
-	outcomes        func() burn.Snapshot             // counts of jobs that ended, as reported by this host
-	log             logr.Logger
-	mu              sync.Mutex
-	leaderHeardAt   time.Time          // when the leader last reported its reachability
-	watchers        map[string]watcher // hosts that watch this one, by address
-	peers           []peerInfo         // hosts to which the store is available, as last listed by the leader
-	ranking         []peerInfo         // the last such list that was not empty
-	reach           reachability       // of the leader, as last reported
-	maxZones        int                // the most zones that a leader reached at once
-	listed          []peerInfo         // sent to watchers, immutable; nil before the first
-	listedAt        time.Time          // when listed was made
-	pendingCounts   map[string]pendingCount
+	transport        *peer.Transport
+	address          string  // of this host, for peers
+	zone             string  // availability zone of this host; empty if unknown
+	cores            float64 // of this host
+	election         Election
+	writer           JobWriter
+	storeUp          func() bool      // whether the store is available to this host
+	storeAnsweredAt  func() time.Time // when the store last answered
+	dispatcher       Dispatcher
+	keeper           *catalog.Keeper
+	adopted          func(version int64, from string) // called for a configuration that a peer had
+	burnSnapshot     func() burn.Snapshot             // counts of jobs that ended, as reported by this host
+	log              logr.Logger
+	mu               sync.Mutex
+	leaderReportedAt time.Time          // when the leader last reported its reachability
+	watchers         map[string]watcher // hosts that watch this one, by address
+	peers            []peerInfo         // hosts to which the store is available, as last listed by the leader
+	ranking          []peerInfo         // the last such list that was not empty
+	reach            reachability       // of the leader, as last reported
+	maxZones         int                // the most zones that a leader reached at once
+	listed           []peerInfo         // sent to watchers, immutable; nil before the first
+	listedAt         time.Time          // when listed was made
+	pendingCounts    map[string]pendingCount
 }
 
 // Option sets one property of a new endpoint.
@@ -128,9 +128,9 @@
 	return func(e *Endpoint) { e.adopted = f }
 }
 
-// WithOutcomes sets the function that returns the host's counts of jobs that ended. By
+// WithBurnSnapshot sets the function that returns the host's counts of jobs that ended. By
 // default there are none.
-func WithOutcomes(f func() burn.Snapshot) Option { return func(e *Endpoint) { e.outcomes = f } }
+func WithBurnSnapshot(f func() burn.Snapshot) Option { return func(e *Endpoint) { e.burnSnapshot = f } }
 
 // WithStoreAnswered sets the function that returns when the store last answered the host.
 // The default is the current time.
@@ -147,7 +147,7 @@
 func New(address string, d Dispatcher, k *catalog.Keeper, storeUp func() bool, opts ...Option) *Endpoint {
 	e := &Endpoint{
 		address: address, dispatcher: d, keeper: k, storeUp: storeUp, watchers: map[string]watcher{}, pendingCounts: map[string]pendingCount{}, log: logr.Discard(), storeAnsweredAt: time.Now,
-		adopted: func(int64, string) {}, outcomes: func() burn.Snapshot { return burn.Snapshot{} },
+		adopted: func(int64, string) {}, burnSnapshot: func() burn.Snapshot { return burn.Snapshot{} },
 	}
 	for _, o := range opts {
 		o(e)
@@ -169,8 +169,8 @@
 		return decodeAndCall(params, func(in graph.Job) (any, error) { return nil, e.dispatcher.Submitted(ctx, &in) })
 	case methodCancelled:
 		return decodeAndCall(params, func(in graph.JobID) (any, error) { return nil, e.dispatcher.Cancelled(ctx, in) })
-	case methodState:
-		return decodeAndCall(params, func(in graph.JobID) (any, error) { return e.localState(ctx, in) })
+	case methodStatus:
+		return decodeAndCall(params, func(in graph.JobID) (any, error) { return e.localStatus(ctx, in) })
 	case methodPending:
 		return decodeAndCall(params, func(in string) (any, error) { return e.dispatcher.Pending(ctx, in) })
 	case methodCatalog:
@@ -201,7 +201,7 @@
 	case methodInForce:
 		return e.localInForce(), nil
 	case methodBurn:
-		return e.outcomes(), nil
+		return e.burnSnapshot(), nil
 	}
 	return nil, fmt.Errorf("%s: %w", method, peer.ErrNoMethod)
 }
--- a/internal/work/dispatch/job.go
+++ b/internal/work/dispatch/job.go
@@ -11,7 +11,7 @@
 // query.
 type job struct {
 	spec      *graph.Job
-	part      int
+	partition int
 	steps     []*step        // of the open occurrences, in order
 	opened    int            // number of occurrences opened so far
 	stepsLeft int            // open steps that are not done
@@ -54,9 +54,9 @@
 	pausedUntil      time.Time       // a gang is not placed before
 	nextPreemptionAt time.Time       // earliest time of the next search for work to preempt
 	reservation      []*target       // targets reserved for it until then
-	rank             int64           // order among the open steps in this pass, lowest first
+	rank             int64           // order among the pending steps in this pass, lowest first
 	criticalPath     time.Duration   // estimated duration of the critical path from this step on
-	queued           bool            // it is in Machine.openSteps
+	queued           bool            // it is in Machine.pendingSteps
 }
 
 // task is one task of a step.
@@ -82,9 +82,9 @@
 }
 
 // newJob returns a job with no open occurrence.
-func newJob(spec *graph.Job, part int, now time.Time) *job {
+func newJob(spec *graph.Job, partition int, now time.Time) *job {
 	return &job{
-		spec: spec, part: part, state: progress.Queued, published: progress.Queued,
+		spec: spec, partition: partition, state: progress.Queued, published: progress.Queued,
 		liveRuns: map[*run]bool{}, learnedAt: now, objective: spec.Objective(),
 	}
 }
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -23,8 +23,8 @@
 	racks              [][]*target // sortedTargets grouped by rack; nil: to be rebuilt
 	jobs               map[graph.JobID]*job
 	recurring          []*job  // jobs that recur, in the order of their arrival
-	openSteps          []*step // steps with tasks to start, by rank as of the last pass, new ones last
-	parts              []part
+	pendingSteps       []*step // steps with tasks to start, by rank as of the last pass, new ones last
+	partitions         []partition
 	commands           []Command
 	placementEnabled   bool // set by EnablePlacement
 	placementEnabledAt time.Time
@@ -53,7 +53,7 @@
 // Log receives one line for each decision, with alternating keys and values. Its
 // methods must not block.
 type Log interface {
-	Decided(what string, kv ...any)
+	Decided(message string, kv ...any)
 }
 
 type discardLog struct{}
@@ -71,7 +71,7 @@
 func New(term int64, b Bounds, opts ...Option) *Machine {
 	m := &Machine{
 		bounds: b, term: term, log: discardLog{}, targets: map[string]*target{}, jobs: map[graph.JobID]*job{},
-		parts: make([]part, b.Parts),
+		partitions: make([]partition, b.Partitions),
 	}
 	for _, o := range opts {
 		o(m)
@@ -79,11 +79,11 @@
 	return m
 }
 
-// PartOf returns the part that holds the rows of a job.
-func PartOf(id graph.JobID, parts int) int {
+// PartitionOf returns the partition that holds the rows of a job.
+func PartitionOf(id graph.JobID, partitions int) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // never fails
-	return int(h.Sum32() % uint32(parts))
+	return int(h.Sum32() % uint32(partitions))
 }
 
 // Term returns the machine's term.
@@ -180,7 +180,7 @@
 		m.log.Decided("target started draining", "target", t.ID, "remainsMS", l.RemainingMS, "runs", len(t.runs))
 	}
 	if l.RemainingMS != t.RemainingMS {
-		t.remainsToldAt = now
+		t.remainingReportedAt = now
 	}
 	if l.ColdRemainingMS != t.ColdRemainingMS {
 		t.startWarmUp(l.ColdRemainingMS, now)
--- a/internal/work/dispatch/simulation_test.go
+++ b/internal/work/dispatch/simulation_test.go
@@ -13,7 +13,7 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// Times of the simulation, as in today's deployments.
+// Times of the simulation, as in current deployments.
 const (
 	simulationStep = 10 * time.Millisecond
 	oneWay         = time.Millisecond
@@ -84,8 +84,8 @@
 }
 
 // Decided implements Log.
-func (d *simulation) Decided(what string, kv ...any) {
-	d.log = append(d.log, fmt.Sprintf("%7.3f %s %v", d.now.Sub(time.Unix(1000, 0)).Seconds(), what, kv))
+func (d *simulation) Decided(message string, kv ...any) {
+	d.log = append(d.log, fmt.Sprintf("%7.3f %s %v", d.now.Sub(time.Unix(1000, 0)).Seconds(), message, kv))
 }
 
 // after schedules an event.
@@ -165,7 +165,7 @@
 	case Save:
 		d.after(max(saveTime, d.slowSaveTime), func() {
 			d.version++
-			d.m.Saved(c.Part, d.version, d.now)
+			d.m.Saved(c.Partition, d.version, d.now)
 		})
 	}
 }
