--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -430,8 +430,8 @@
 }
 
 // nextListTimeout returns the timeout of the next read of the list after one that took
-// the given time. It is shorter than storeTimeout in general: a lost answer must not hold up
-// placement that long.
+// the given time. It is shorter than storeTimeout in general: a lost answer must not hold
+// up placement that long.
 func nextListTimeout(took time.Duration) time.Duration {
 	return min(max(minListTimeout, listTimeoutFactor*took), storeTimeout)
 }
--- a/internal/host/dispatcher/narrow_link_test.go
+++ b/internal/host/dispatcher/narrow_link_test.go
@@ -93,7 +93,8 @@
 	return a.report, a.err
 }
 
-// narrowLinkDeployment is a leader on a host with a narrow link, with racks of eight targets.
+// narrowLinkDeployment is a leader on a host with a narrow link, with racks of eight
+// targets.
 type narrowLinkDeployment struct {
 	d     *Dispatcher
 	pool  *pool.Shared
--- a/internal/host/leader/election_test.go
+++ b/internal/host/leader/election_test.go
@@ -169,9 +169,9 @@
 	})
 }
 
-// The leader is disconnected from the store and does not know whether others reach it. Its row
-// does not change for Lease, and another host takes it over. The old leader may send orders
-// for no longer than Grace.
+// The leader is disconnected from the store and does not know whether others reach it.
+// Its row does not change for Lease, and another host takes it over. The old leader may
+// send orders for no longer than Grace.
 func TestUnchangedRowIsTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -307,10 +307,11 @@
 	}
 }
 
-// The leader is disconnected from the store, another host takes the row over, and the connection
-// is restored while the first one reads back its last write. It finds the new row and must
-// not overwrite it, using the version just read: the next host to take over would get a term
-// that is already in use, and two leaders would start the same tasks with one fencing token.
+// The leader is disconnected from the store, another host takes the row over, and the
+// connection is restored while the first one reads back its last write. It finds the new
+// row and must not overwrite it, using the version just read: the next host to take over
+// would get a term that is already in use, and two leaders would start the same tasks
+// with one fencing token.
 func TestSupersededLeaderDoesNotOverwriteRow(t *testing.T) {
 	for seed := range uint64(80) {
 		synctest.Test(t, func(t *testing.T) {
@@ -353,9 +354,9 @@
 	return nil
 }
 
-// A leader checks every two seconds for a larger host, and under load the others are slow to
-// answer. The leader must renew its row meanwhile: otherwise another small host takes it over
-// and fails in the same way.
+// A leader checks every two seconds for a larger host, and under load the others are slow
+// to answer. The leader must renew its row meanwhile: otherwise another small host takes
+// it over and fails in the same way.
 func TestSlowCandidateCheckDoesNotDelayRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/host/peer/clientconn.go
+++ b/internal/host/peer/clientconn.go
@@ -25,9 +25,9 @@
 }
 
 // receivedSince reports whether a message arrived after the given time. If so, a call that
-// got no answer means that the peer is slow, and not that the connection is lost. Closing the
-// connection would fail all other calls in progress and make every host of an overloaded
-// leader dial again, which costs the leader more than the calls did.
+// got no answer means that the peer is slow, and not that the connection is lost. Closing
+// the connection would fail all other calls in progress and make every host of an
+// overloaded leader dial again, which costs the leader more than the calls did.
 func (c *clientConn) receivedSince(t time.Time) bool {
 	at := c.lastReceived.Load()
 	return at != nil && at.After(t)
--- a/internal/host/peer/transport.go
+++ b/internal/host/peer/transport.go
@@ -35,8 +35,8 @@
 // could be established.
 var ErrUnreached = errors.New("peer not reached")
 
-// Handler answers a call with the given JSON parameters. The result is sent as JSON. It must
-// be safe for concurrent use.
+// Handler answers a call with the given JSON parameters. The result is sent as JSON. It
+// must be safe for concurrent use.
 type Handler func(ctx context.Context, method string, params json.RawMessage) (any, error)
 
 // ClientTLS returns the TLS configuration for one connection to a peer at IP:port.
@@ -66,10 +66,10 @@
 	return &Transport{handler: h, log: log, dialTCP: dial, clientTLS: clientTLS, conns: map[string]*clientConn{}, accepted: map[*jsonrpc2.Conn]bool{}}
 }
 
-// Serve answers the calls of peers that connect to the listener. It returns when the listener
-// is closed, with the listener's error. Other accept errors are logged, and Serve goes on: at
-// the limit of open files the process would otherwise exit, and on a leader that ends all its
-// reports and leases.
+// Serve answers the calls of peers that connect to the listener. It returns when the
+// listener is closed, with the listener's error. Other accept errors are logged, and
+// Serve goes on: at the limit of open files the process would otherwise exit, and on a
+// leader that ends all its reports and leases.
 func (t *Transport) Serve(l net.Listener) error {
 	failures := 0 // since the last accepted connection
 	for {
@@ -157,8 +157,8 @@
 	}
 }
 
-// Call sends a call to the peer at IP:port and decodes its answer into result, or discards it
-// if result is nil. It returns when the context ends.
+// Call sends a call to the peer at IP:port and decodes its answer into result, or
+// discards it if result is nil. It returns when the context ends.
 func (t *Transport) Call(ctx context.Context, address, method string, params, result any) error {
 	conn, err := t.conn(ctx, address)
 	if err != nil {
@@ -182,15 +182,15 @@
 	return fmt.Errorf("%s: peer %s: %w", method, address, err)
 }
 
-// Answered reports whether an error of Call is the peer's own answer, and not an error of the
-// connection.
+// Answered reports whether an error of Call is the peer's own answer, and not an error of
+// the connection.
 func Answered(err error) bool {
 	var answer *jsonrpc2.Error
 	return errors.As(err, &answer)
 }
 
-// Notify sends a notification to the peer at IP:port and waits for no answer. It is meant for
-// messages that are repeated anyway. The error is nil if the notification was sent.
+// Notify sends a notification to the peer at IP:port and waits for no answer. It is meant
+// for messages that are repeated anyway. The error is nil if the notification was sent.
 func (t *Transport) Notify(ctx context.Context, address, method string, params any) error {
 	conn, err := t.conn(ctx, address)
 	if err != nil {
@@ -218,8 +218,8 @@
 	return t.dial(ctx, address)
 }
 
-// dial opens a connection to the address. If another call has opened one in the meantime, it
-// returns that one.
+// dial opens a connection to the address. If another call has opened one in the meantime,
+// it returns that one.
 func (t *Transport) dial(ctx context.Context, address string) (*clientConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
--- a/internal/host/peer/transport_test.go
+++ b/internal/host/peer/transport_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// withTransport calls f with a transport that is connected to another one, on which h answers
-// the calls.
+// withTransport calls f with a transport that is connected to another one, on which h
+// answers the calls.
 func withTransport(t *testing.T, h peer.Handler, f func(ctx context.Context, is *is.I, l *testListener, from *peer.Transport)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -96,8 +96,9 @@
 	return method, ctx.Err()
 }
 
-// A leader with thousands of targets has reached its limit of open files, so accept fails when
-// the next host connects. The process must not exit for that, which would end the term.
+// A leader with thousands of targets has reached its limit of open files, so accept fails
+// when the next host connects. The process must not exit for that, which would end the
+// term.
 func TestAcceptErrorsDoNotEndServe(t *testing.T) {
 	withTransport(t, testHandler, func(ctx context.Context, is *is.I, l *testListener, from *peer.Transport) {
 		for range 3 {
@@ -110,8 +111,9 @@
 	})
 }
 
-// A leader with an overloaded CPU answers some calls too late. If each host closed its connection
-// for that, with all other calls on it, and dialed again, the leader's load would grow.
+// A leader with an overloaded CPU answers some calls too late. If each host closed its
+// connection for that, with all other calls on it, and dialed again, the leader's load
+// would grow.
 func TestTimeoutKeepsConnectionInUse(t *testing.T) {
 	withTransport(t, testHandler, func(ctx context.Context, is *is.I, l *testListener, from *peer.Transport) {
 		other := make(chan error, 1)
@@ -131,8 +133,8 @@
 	})
 }
 
-// If a firewall drops all packets of a connection, neither end detects it. The host must dial
-// again after a timeout, instead of sending further calls on that connection.
+// If a firewall drops all packets of a connection, neither end detects it. The host must
+// dial again after a timeout, instead of sending further calls on that connection.
 func TestTimeoutOnSilentConnectionRedials(t *testing.T) {
 	withTransport(t, testHandler, func(ctx context.Context, is *is.I, l *testListener, from *peer.Transport) {
 		is.NoErr(from.Call(ctx, address, "fast", nil, nil))
--- a/internal/host/rpc/endpoint_test.go
+++ b/internal/host/rpc/endpoint_test.go
@@ -167,8 +167,9 @@
 	}
 }
 
-// If the leader of a large site sent the list of all 300 hosts to each of them, twice a second,
-// its traffic would grow with the square of the number of hosts and saturate its CPU.
+// If the leader of a large site sent the list of all 300 hosts to each of them, twice a
+// second, its traffic would grow with the square of the number of hosts and saturate its
+// CPU.
 func TestWatchersGetLargestHostsOnly(t *testing.T) {
 	withHosts(t, 40, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 2, hosts[0], hosts[1:]...) // the first watch makes the watchers known
@@ -183,9 +184,9 @@
 }
 
 // The store is unavailable to all hosts, and the leader is lost in that time. The leader's
-// last list is empty, since it holds hosts with access to the store only. If hosts ranked by
-// it, the smallest would take over as early as the others when the store is back, take ten
-// times as long to restore the state, and be replaced by a larger one at once.
+// last list is empty, since it holds hosts with access to the store only. If hosts ranked
+// by it, the smallest would take over as early as the others when the store is back, take
+// ten times as long to restore the state, and be replaced by a larger one at once.
 func TestLargerHostsRankFirstAfterOutage(t *testing.T) {
 	withHosts(t, 4, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 2, hosts[0], hosts[1:]...)
@@ -235,8 +236,8 @@
 }
 
 // A host without access to the store has the leader write for it, and another host if the
-// leader cannot. If the outcome of a write is unknown, no other host is asked, since it might
-// write the request twice.
+// leader cannot. If the outcome of a write is unknown, no other host is asked, since it
+// might write the request twice.
 func TestRelayTriesNextHostOnlyIfNothingWasStored(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -268,8 +269,8 @@
 	}
 }
 
-// The leader has just failed. A relayed request that did not reach it was not stored, and the
-// error says so: the client may repeat it at once.
+// The leader has just failed. A relayed request that did not reach it was not stored, and
+// the error says so: the client may repeat it at once.
 func TestRelayThatReachesNoHostIsNotAccepted(t *testing.T) {
 	withHosts(t, 2, func(ctx context.Context, is *is.I, hosts []*host) {
 		hosts[0].unreachable = true
@@ -293,9 +294,9 @@
 	})
 }
 
-// A zone with the leader in it is disconnected. Its hosts reach their leader. If they reported that
-// they can serve, all clients of the zone would be refused until it is connected again, although
-// hosts of other zones can serve them.
+// A zone with the leader in it is disconnected. Its hosts reach their leader. If they
+// reported that they can serve, all clients of the zone would be refused until it is
+// connected again, although hosts of other zones can serve them.
 func TestZoneDisconnectedWithLeaderCannotServe(t *testing.T) {
 	withHosts(t, 4, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 4, hosts[0], hosts[1:]...)
@@ -366,9 +367,9 @@
 }
 
 // The store is unavailable to the leader and some other hosts. The leader transfers the
-// leadership. The others cannot read the leader row. If they watched the old leader until the
-// store is available to them again, their clients would be refused for seconds. So the old
-// leader names the new one, and if it is gone, hosts that watch the new one do.
+// leadership. The others cannot read the leader row. If they watched the old leader until
+// the store is available to them again, their clients would be refused for seconds. So
+// the old leader names the new one, and if it is gone, hosts that watch the new one do.
 func TestHostsWithoutStoreFindNextLeader(t *testing.T) {
 	withHosts(t, 4, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 2, hosts[0], hosts[1:]...)
@@ -395,8 +396,8 @@
 	})
 }
 
-// A host asks the leader for the status of a job, or itself if it leads. Without a leader it
-// fails at once.
+// A host asks the leader for the status of a job, or itself if it leads. Without a leader
+// it fails at once.
 func TestStatusIsAskedOfLeader(t *testing.T) {
 	withHosts(t, 2, func(ctx context.Context, is *is.I, hosts []*host) {
 		for _, h := range hosts {
--- a/internal/host/rpc/relay.go
+++ b/internal/host/rpc/relay.go
@@ -95,9 +95,9 @@
 // CanServe reports whether clients should be sent to this host. That holds if a request can
 // be stored by this host or by a peer that was reached recently. It also holds if the store
 // is unavailable to all hosts: no host could do better than to refuse quickly. A zone that
-// is disconnected together with its leader must not be taken for that case, since other zones can
-// serve its clients. That is detected when neither the store nor any host outside
-// the zone answers, before the store counts as down.
+// is disconnected together with its leader must not be taken for that case, since other
+// zones can serve its clients. That is detected when neither the store nor any host
+// outside the zone answers, before the store counts as down.
 func (e *Endpoint) CanServe() bool {
 	if e.storeUp() && time.Since(e.storeAnsweredAt()) < reachableFor {
 		return true
--- a/internal/host/rpc/views.go
+++ b/internal/host/rpc/views.go
@@ -45,8 +45,8 @@
 	return f, err
 }
 
-// InForce asks the leader for the configuration in force on it and on each host that watches
-// it.
+// InForce asks the leader for the configuration in force on it and on each host that
+// watches it.
 func (e *Endpoint) InForce(ctx context.Context) ([]view.InForce, error) {
 	return callLeader(ctx, e, methodInForce, nil, func() ([]view.InForce, error) { return e.localInForce(), nil })
 }
@@ -64,8 +64,8 @@
 	return list
 }
 
-// Burn asks all hosts that the leader knows for their counts of ended jobs, and merges them.
-// A host that does not answer is logged and left out.
+// Burn asks all hosts that the leader knows for their counts of ended jobs, and merges
+// them. A host that does not answer is logged and left out.
 func (e *Endpoint) Burn(ctx context.Context) (burn.Snapshot, error) {
 	hosts, err := e.InForce(ctx)
 	if err != nil {
--- a/internal/host/rpc/watch.go
+++ b/internal/host/rpc/watch.go
@@ -71,8 +71,8 @@
 }
 
 // redirect names the current leader to a host that watches this one for the given term. If
-// the store is unavailable to the watcher, it cannot read the leader row, and would otherwise
-// watch a former leader until the store is available again.
+// the store is unavailable to the watcher, it cannot read the leader row, and would
+// otherwise watch a former leader until the store is available again.
 func (e *Endpoint) redirect(term int64) (any, error) {
 	if row := e.election.Leader(); row.Term > term && row.Address != e.address {
 		return watchMessage{Row: row}, nil
@@ -131,9 +131,9 @@
 	return list
 }
 
-// Rank implements leader.Peers. A host that is not in the leader's last list ranks after all
-// listed ones: it may have had no access to the store, or it had just started. While the
-// store is unavailable to all hosts the list is empty, and the one before is used.
+// Rank implements leader.Peers. A host that is not in the leader's last list ranks after
+// all listed ones: it may have had no access to the store, or it had just started. While
+// the store is unavailable to all hosts the list is empty, and the one before is used.
 func (e *Endpoint) Rank(ratio float64) (rank int, muchLarger bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,9 +147,9 @@
 // Size and age of the list of hosts that is sent to watchers.
 const (
 	// maxListedPeers bounds the number of hosts in the list. A watcher needs two to relay
-	// requests, and its rank if it is among the first ten that may lead next. With all hosts
-	// listed, the leader's traffic would grow with the square of their number: with 300
-	// hosts the lists were three fifths of all bytes that it sent.
+	// requests, and its rank if it is among the first ten that may lead next. With all
+	// hosts listed, the leader's traffic would grow with the square of their number: with
+	// 300 hosts the lists were three fifths of all bytes that it sent.
 	maxListedPeers = 12
 	// listMaxAge is how long a list is reused: a quarter of the time between two watches of
 	// a host.
@@ -239,8 +239,8 @@
 // maxCandidates bounds how many hosts are asked whether they could lead.
 const maxCandidates = 3
 
-// Candidates implements leader.Peers. A host that last reported access to the store may have
-// lost it since, so each is asked to read the row now.
+// Candidates implements leader.Peers. A host that last reported access to the store may
+// have lost it since, so each is asked to read the row now.
 func (e *Endpoint) Candidates(ctx context.Context, minCores float64) []string {
 	ctx, cancel := context.WithTimeout(ctx, candidatesTimeout)
 	defer cancel()
--- a/internal/work/dispatch/bounds.go
+++ b/internal/work/dispatch/bounds.go
@@ -9,17 +9,19 @@
 	MaxStopTime time.Duration // longest time that a target takes to stop a run
 	GangTimeout time.Duration // how long a gang's members wait for the others
 	RestoreTime time.Duration // time that a run takes to restore a checkpoint before it works
-	// RemoteSlowdown is the factor by which a task away from its data's rack, or a gang that
-	// wants one rack but runs on several, takes longer.
+	// RemoteSlowdown is the factor by which a task away from its data's rack, or a gang
+	// that wants one rack but runs on several, takes longer.
 	RemoteSlowdown float64
 	ReclaimTime    time.Duration // time within which guaranteed work must begin
 	Retention      time.Duration // how long clients can query the state of an ended job
 	DrainTime      time.Duration // time after which a draining target gets no work
 	Partitions     int           // number of partitions over which jobs are spread
 	MaxListAge     time.Duration // greatest age of the list of targets for placement; 0: no limit
-	// EvacuateTime is how long work may still start in a zone after its evacuation; 0: no limit.
+	// EvacuateTime is how long work may still start in a zone after its evacuation; 0: no
+	// limit.
 	EvacuateTime time.Duration
-	// MaxEvacuationAge is the greatest age of the evacuation status for starts; 0: no limit.
+	// MaxEvacuationAge is the greatest age of the evacuation status for starts; 0: no
+	// limit.
 	MaxEvacuationAge time.Duration
 }
 
--- a/internal/work/dispatch/fit.go
+++ b/internal/work/dispatch/fit.go
@@ -52,10 +52,11 @@
 	return best
 }
 
-// fit rates a target for a task. Fits are compared field by field in order; lower is better.
+// fit rates a target for a task. Fits are compared field by field in order; lower is
+// better.
 type fit struct {
-	// risk is 1 if the target is not proven and this is the last attempt, 2 if the target is
-	// suspect or slow, or the task avoids it.
+	// risk is 1 if the target is not proven and this is the last attempt, 2 if the target
+	// is suspect or slow, or the task avoids it.
 	risk             int
 	cold             int // 1 if the target is warming up
 	remote           int // 1 if the task's data is on another rack
--- a/internal/work/dispatch/gang_end_test.go
+++ b/internal/work/dispatch/gang_end_test.go
@@ -85,9 +85,9 @@
 	is.Equal(len(s.tasks[1].runs), 1)
 }
 
-// Two of three targets lose power, and the third lists that its member ended because another
-// one had. Which of the two ended first is not known, so neither run is presumed ended
-// before its leases have lapsed.
+// Two of three targets lose power, and the third lists that its member ended because
+// another one had. Which of the two ended first is not known, so neither run is presumed
+// ended before its leases have lapsed.
 func TestGangWaitsForTwoDeadTargets(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 6, DefaultBounds())
--- a/internal/work/dispatch/preemption_test.go
+++ b/internal/work/dispatch/preemption_test.go
@@ -25,8 +25,9 @@
 	d.check()
 }
 
-// An urgent job of one small task arrives while a large gang fills the fleet. Preempting the
-// gang would lose far more work than the job is worth, so the job waits and the gang goes on.
+// An urgent job of one small task arrives while a large gang fills the fleet. Preempting
+// the gang would lose far more work than the job is worth, so the job waits and the gang
+// goes on.
 func TestCostlyPreemptionIsAvoided(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 4, DefaultBounds())
@@ -55,9 +56,9 @@
 	d.check()
 }
 
-// Tasks are preempted for an urgent gang, and the polls that would list their ends are lost.
-// An extra poll of each target lists them, so the gang waits some tenths of a second and not
-// until the polls time out.
+// Tasks are preempted for an urgent gang, and the polls that would list their ends are
+// lost. An extra poll of each target lists them, so the gang waits some tenths of a
+// second and not until the polls time out.
 func TestPreemptedCapacityIsFoundThoughPollsAreLost(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 4, DefaultBounds())
--- a/internal/work/dispatch/schedule.go
+++ b/internal/work/dispatch/schedule.go
@@ -67,7 +67,8 @@
 	victims map[*target][]victim // runs that may be stopped for work of priority 0
 	losses  map[*step]float64    // losses of gangs if they are stopped
 	wanted  map[string]int       // accelerators wanted for jobs of priority 0, by account
-	// preemptibleCapacity is the capacity of targets that is free if all preemptible runs stop.
+	// preemptibleCapacity is the capacity of targets that is free if all preemptible runs
+	// stop.
 	preemptibleCapacity map[*target]graph.Resources
 	unplaceable         []unplaceable // gangs that do not fit without preemption
 }
--- a/internal/work/dispatch/warmup.go
+++ b/internal/work/dispatch/warmup.go
@@ -7,9 +7,9 @@
 )
 
 // A target that has just started is slow for a time that it declares. Whole zones
-// restart after an evacuation or a power loss; filled at once, they would delay all the work
-// that other targets could do. So the usable share of such a target's capacity grows to
-// the whole while it warms up, and warm targets get work first.
+// restart after an evacuation or a power loss; filled at once, they would delay all the
+// work that other targets could do. So the usable share of such a target's capacity grows
+// to the whole while it warms up, and warm targets get work first.
 
 // startWarmUp records for how many milliseconds a target declares to be slow.
 func (t *target) startWarmUp(cold int64, now time.Time) {
--- a/internal/work/dispatch/warmup_test.go
+++ b/internal/work/dispatch/warmup_test.go
@@ -19,8 +19,9 @@
 	d.decide()
 }
 
-// All targets have just restarted and are cold. Filled at once, they would slow all pending work
-// down; they get more as they warm up, and their whole capacity when they are warm.
+// All targets have just restarted and are cold. Filled at once, they would slow all
+// pending work down; they get more as they warm up, and their whole capacity when they
+// are warm.
 func TestColdTargetsFillAsTheyWarmUp(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
