--- a/internal/operator/command/evacuation.go
+++ b/internal/operator/command/evacuation.go
@@ -85,7 +85,7 @@
 	}
 	return o.print(s, done, func(w *tabwriter.Writer) {
 		if unchanged {
-			_, _ = fmt.Fprintf(w, "zone %s already %s, by version %d\n", zone, state, v.Version)
+			_, _ = fmt.Fprintf(w, "zone %s %s already, by version %d\n", zone, state, v.Version)
 			return
 		}
 		_, _ = fmt.Fprintf(w, "version %d accepted: zone %s %s on each host that has it in force\n", v.Version, zone, state)
