--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -259,7 +259,7 @@
 		for _, c := range l.machine.Decide(now) {
 			l.execute(c, now)
 		}
-		if l.machine.Deposed() {
+		if l.machine.Superseded() {
 			return errNewerTerm
 		}
 		var due <-chan time.Time
--- a/internal/host/dispatcher/execute.go
+++ b/internal/host/dispatcher/execute.go
@@ -230,7 +230,7 @@
 	}
 	if stored[tx.Expect[0].Key].Version != tx.Expect[0].Version {
 		l.log.Info("deposed", "step", "save", "part", c.Partition, "term", l.term.Number())
-		l.post(func(time.Time) { l.machine.Depose() })
+		l.post(func(time.Time) { l.machine.MarkSuperseded() })
 		return
 	}
 	found := make([]dispatch.StoredRow, 0, len(c.Rows))
--- a/internal/work/dispatch/accept.go
+++ b/internal/work/dispatch/accept.go
@@ -105,7 +105,7 @@
 		for _, p := range placed[x.index] {
 			x.highestRun = max(x.highestRun, p.Run)
 		}
-		s.gangRun = max(s.gangRun, x.highestRun)
+		s.highestGangRun = max(s.highestGangRun, x.highestRun)
 		if k.Done != nil && k.Done.Bit(x.index) == 1 {
 			m.taskDone(x, 0, now)
 		}
--- a/internal/work/dispatch/advice.go
+++ b/internal/work/dispatch/advice.go
@@ -91,7 +91,7 @@
 		m.log.Decided("no advice", "step", a.Step, "targets", len(a.Targets), "error", err.Error())
 		return
 	}
-	s := m.stepOf(a.Step)
+	s := m.findStep(a.Step)
 	if s == nil {
 		return
 	}
@@ -111,8 +111,8 @@
 	}
 }
 
-// stepOf returns a step of an open occurrence, or nil.
-func (m *Machine) stepOf(id graph.StepID) *step {
+// findStep returns a step of an open occurrence, or nil.
+func (m *Machine) findStep(id graph.StepID) *step {
 	j := m.jobs[id.Job]
 	if j == nil {
 		return nil
--- a/internal/work/dispatch/attempts.go
+++ b/internal/work/dispatch/attempts.go
@@ -87,8 +87,8 @@
 	lastAttemptWait = maxPollWait + 200*time.Millisecond
 )
 
-// isLast reports whether a task that failed before has one attempt left of maxAttempts.
-func (a *attempts) isLast(maxAttempts int) bool {
+// oneLeft reports whether a task that failed before has one attempt left of maxAttempts.
+func (a *attempts) oneLeft(maxAttempts int) bool {
 	return len(a.failed) > 0 && len(a.failed) == maxAttempts-1
 }
 
@@ -106,4 +106,4 @@
 
 // onLastAttempt reports whether the task has failed before and another failure ends its
 // job.
-func (x *task) onLastAttempt() bool { return x.attempts().isLast(x.step.job.spec.MaxAttempts) }
+func (x *task) onLastAttempt() bool { return x.attempts().oneLeft(x.step.job.spec.MaxAttempts) }
--- a/internal/work/dispatch/backlog.go
+++ b/internal/work/dispatch/backlog.go
@@ -21,16 +21,16 @@
 // 0 means no limit. The caller sets it before each decision.
 func (m *Machine) SetMaxPendingStarts(limit int) { m.backlog.limit = limit }
 
-// recordTimeLimit is how long a run that waits to be saved counts as pending. A longer
+// maxPendingSaveWait is how long a run that waits to be saved counts as pending. A longer
 // wait is due to the store: if it is slow, many runs wait and the host has nothing to do.
-const recordTimeLimit = 150 * time.Millisecond
+const maxPendingSaveWait = 150 * time.Millisecond
 
 // startPending reports whether a run waits for this host to send its start. A start that
 // its target did not answer is not due to the host and does not count.
 func (r *run) startPending(now time.Time) bool {
 	switch r.phase {
 	case recorded:
-		return now.Sub(r.placedAt) < recordTimeLimit
+		return now.Sub(r.placedAt) < maxPendingSaveWait
 	case starting:
 		return r.startsSent == 1 && r.orderPending
 	}
--- a/internal/work/dispatch/ends.go
+++ b/internal/work/dispatch/ends.go
@@ -80,7 +80,7 @@
 	m.log.Decided("run ended", "target", t.ID, "task", e.Run.Task, "run", e.Run.Number, "how", e.Reason, "number", e.Number, "checkpoint", e.Checkpoint)
 	if x := j.findTask(e.Run.Task); x != nil {
 		x.highestRun = max(x.highestRun, e.Run.Number)
-		x.step.gangRun = max(x.step.gangRun, e.Run.Number)
+		x.step.highestGangRun = max(x.step.highestGangRun, e.Run.Number)
 		if m.applyEnd(x, t, r, e, now) {
 			m.markDirty(j)
 		}
@@ -304,7 +304,7 @@
 		r.charge = t.Capacity.Minus(t.used) // its needs are not known: no other work is placed beside it
 	}
 	x.highestRun = max(x.highestRun, reported.Run.Number)
-	x.step.gangRun = max(x.step.gangRun, reported.Run.Number)
+	x.step.highestGangRun = max(x.step.highestGangRun, reported.Run.Number)
 	x.runs = append(x.runs, r)
 	x.step.job.liveRuns[r] = true
 	t.runs[r.Run] = r
--- a/internal/work/dispatch/evacuation.go
+++ b/internal/work/dispatch/evacuation.go
@@ -18,7 +18,7 @@
 	}
 	for _, zone := range s.Zones {
 		if !before.Has(zone) {
-			m.evacuate(zone, now)
+			m.evacuateZone(zone, now)
 		}
 	}
 	for _, zone := range before.Zones {
@@ -30,7 +30,7 @@
 	m.checkGuarantees()
 }
 
-func (m *Machine) evacuate(zone string, now time.Time) {
+func (m *Machine) evacuateZone(zone string, now time.Time) {
 	targets, runs, unsent := 0, 0, 0
 	for _, t := range m.sortedTargets {
 		if t.Zone != zone {
--- a/internal/work/dispatch/gang.go
+++ b/internal/work/dispatch/gang.go
@@ -24,8 +24,8 @@
 	if plan == nil {
 		return true
 	}
-	number := s.gangRun + 1
-	s.gangRun = number
+	number := s.highestGangRun + 1
+	s.highestGangRun = number
 	runs := make([]*run, len(s.tasks))
 	for i, x := range s.tasks {
 		runs[i] = m.place(x, plan[i], number, now)
@@ -58,7 +58,7 @@
 			}
 		}
 		all = append(all, set.targets...)
-		if s.canFit(set.targets) {
+		if s.fitsIfEmpty(set.targets) {
 			list = append(list, set)
 		}
 	}
@@ -93,8 +93,8 @@
 	return m.racks
 }
 
-// canFit reports whether the targets could hold the gang if they were empty.
-func (s *step) canFit(targets []*target) bool {
+// fitsIfEmpty reports whether the targets could hold the gang if they were empty.
+func (s *step) fitsIfEmpty(targets []*target) bool {
 	charge, n := s.spec.Charge(), 0
 	for _, t := range targets {
 		n += min(tasksThatFit(charge, t.Capacity), max(s.perTargetLeft(t), 0))
@@ -166,7 +166,7 @@
 		if unplaceable {
 			break
 		}
-		if plan, left := m.fill(s, set.targets, now); plan != nil && (best == nil || left < bestLeft) {
+		if plan, left := m.planWithoutPreemption(s, set.targets, now); plan != nil && (best == nil || left < bestLeft) {
 			best, bestLeft = plan, left
 		}
 	}
@@ -188,9 +188,9 @@
 	return s.job.spec.Priority == 0 && (!now.Before(s.nextPreemptionAt) || m.guaranteeDue(s, now))
 }
 
-// unplaceable is a gang that did not fit in this pass. A gang that needs more does not fit
+// unplaceableGang is a gang that did not fit in this pass. A gang that needs more does not fit
 // either.
-type unplaceable struct {
+type unplaceableGang struct {
 	step   *step
 	slower bool // slower sets were tried, too
 }
@@ -199,7 +199,7 @@
 // that others may use.
 func (p *pass) recordUnplaceable(s *step, slower bool) {
 	if len(s.gangAttempts.avoidedTargets) == 0 && s.spec.PerTarget == 0 {
-		p.unplaceable = append(p.unplaceable, unplaceable{s, slower})
+		p.unplaceable = append(p.unplaceable, unplaceableGang{s, slower})
 	}
 }
 
@@ -216,10 +216,10 @@
 	return false
 }
 
-// fill returns a plan that puts each task of a gang on the best fitting target of a set,
+// planWithoutPreemption returns a plan that puts each task of a gang on the best fitting target of a set,
 // and how many accelerators of the set the plan leaves free. The plan is nil if the gang
 // does not fit.
-func (m *Machine) fill(s *step, targets []*target, now time.Time) (plan []*target, left int) {
+func (m *Machine) planWithoutPreemption(s *step, targets []*target, now time.Time) (plan []*target, left int) {
 	charge := s.spec.Charge()
 	free := make([]graph.Resources, len(targets))
 	slots := make([]int, len(targets))
@@ -297,13 +297,13 @@
 	}
 }
 
-// isWaiting reports whether a run still awaits capacity.
-func (r *run) isWaiting() bool { return r.phase == awaitingCapacity && r.target.runs[r.Run] == r }
+// awaitsCapacity reports whether a run still awaits capacity.
+func (r *run) awaitsCapacity() bool { return r.phase == awaitingCapacity && r.target.runs[r.Run] == r }
 
 // waitingGroups returns the runs that await capacity, in the order of placement: those of
 // a gang as one group, each other run as its own.
 func (m *Machine) waitingGroups() [][]*run {
-	m.waitingRuns = slices.DeleteFunc(m.waitingRuns, func(r *run) bool { return !r.isWaiting() })
+	m.waitingRuns = slices.DeleteFunc(m.waitingRuns, func(r *run) bool { return !r.awaitsCapacity() })
 	var groups [][]*run
 	groupOf := map[*step]int{}
 	for _, r := range m.waitingRuns {
--- a/internal/work/dispatch/gang_end_test.go
+++ b/internal/work/dispatch/gang_end_test.go
@@ -102,7 +102,7 @@
 		d.p.Kill(name, d.now)
 	}
 	d.run(4 * time.Second)
-	is.Equal(d.m.jobs[id].steps[0].gangRun, 1)
+	is.Equal(d.m.jobs[id].steps[0].highestGangRun, 1)
 	d.run(15 * time.Second)
 	d.check()
 }
@@ -123,18 +123,18 @@
 	})
 	d.run(5 * time.Second) // the first attempt has failed half way, after 4 s
 	s := d.m.jobs[id].steps[0]
-	is.Equal(s.gangRun, 2)
+	is.Equal(s.highestGangRun, 2)
 	unreached := s.tasks[1].runs[0].target
 	d.dropCommand = func(c Command) bool { return targetOf(c) == unreached.ID }
 	d.run(4500 * time.Millisecond) // the second fails, and the target is known to be unreachable
 	is.Equal(unreached.reach, unreachable)
 	is.Equal(len(s.gangEnd.brokenMembers), 2)
-	is.Equal(s.gangRun, 2)
+	is.Equal(s.highestGangRun, 2)
 	is.Equal(len(s.tasks[1].runs), 1) // still recorded, for the next leader
 	d.dropCommand = nil
 	d.run(10 * time.Second)
 	is.Equal(d.state(id), progress.Failed)
-	is.Equal(s.gangRun, 2)
+	is.Equal(s.highestGangRun, 2)
 	d.check()
 }
 
--- a/internal/work/dispatch/gang_test.go
+++ b/internal/work/dispatch/gang_test.go
@@ -30,7 +30,7 @@
 				continue
 			}
 			for _, set := range d.m.targetSets(s, d.now) {
-				if plan, _ := d.m.fill(s, set.targets, d.now); plan != nil && (set.slowdowns == 0 || slower) {
+				if plan, _ := d.m.planWithoutPreemption(s, set.targets, d.now); plan != nil && (set.slowdowns == 0 || slower) {
 					rt.Fatalf("%d members of %d accelerators fit", len(s.tasks), s.spec.Needs.Accelerators)
 				}
 			}
--- a/internal/work/dispatch/job.go
+++ b/internal/work/dispatch/job.go
@@ -42,7 +42,7 @@
 	tasksLeft        int
 	done             bool
 	dueAt            int64     // when its occurrence is due, in milliseconds since 1970; 0: no due time
-	gangRun          int       // highest run number of a gang
+	highestGangRun   int       // highest run number of a gang
 	doneRun          int       // number of the run that was done last; 0: none or not known
 	doneAt           time.Time // when the machine learned that it was done
 	savedCheckpoint  string    // checkpoint that a gang resumes from
--- a/internal/work/dispatch/long_running.go
+++ b/internal/work/dispatch/long_running.go
@@ -11,7 +11,7 @@
 	}
 	for _, r := range t.sortedRuns() {
 		s := r.task.step
-		if r.phase != running || !s.spec.LongRunning || s.job.finished() || s.unavailable() >= max(s.spec.MaxUnavailable, 1) {
+		if r.phase != running || !s.spec.LongRunning || s.job.finished() || s.unavailableTasks() >= max(s.spec.MaxUnavailable, 1) {
 			continue
 		}
 		if other := m.chooseTarget(r.task, now); other != nil && other != t {
@@ -20,19 +20,19 @@
 	}
 }
 
-// unavailable returns how many tasks of a long-running step are not serving.
-func (s *step) unavailable() int {
+// unavailableTasks returns how many tasks of a long-running step are not serving.
+func (s *step) unavailableTasks() int {
 	n := 0
 	for _, x := range s.tasks {
-		if !x.serving() {
+		if !x.available() {
 			n++
 		}
 	}
 	return n
 }
 
-// serving reports whether a long-running task has started up and serves.
-func (x *task) serving() bool {
+// available reports whether a long-running task has started up and serves.
+func (x *task) available() bool {
 	for _, r := range x.runs {
 		if r.phase == running && r.percent == 100 {
 			return true
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -47,7 +47,7 @@
 	guaranteesExceeded bool                       // the guarantees exceed the usable accelerators
 	evacuated          evacuation.Status          // zones evacuated by operators
 	placementDue       bool                       // something may have become placeable since the last pass
-	deposed            bool                       // a newer term has begun
+	superseded         bool                       // a newer term has begun
 }
 
 // Log receives one line for each decision, with alternating keys and values. Its
@@ -89,12 +89,12 @@
 // Term returns the machine's term.
 func (m *Machine) Term() int64 { return m.term }
 
-// Deposed reports whether a newer term has begun, as a target or the store has shown.
+// Superseded reports whether a newer term has begun, as a target or the store has shown.
 // Decide returns no commands from then on, and the caller ends the term.
-func (m *Machine) Deposed() bool { return m.deposed }
+func (m *Machine) Superseded() bool { return m.superseded }
 
-// Depose ends the machine's term. The caller uses it when the store shows a newer term.
-func (m *Machine) Depose() { m.deposed = true }
+// MarkSuperseded ends the machine's term. The caller uses it when the store shows a newer term.
+func (m *Machine) MarkSuperseded() { m.superseded = true }
 
 // SetGuarantees sets how many accelerators each client account is guaranteed for its
 // jobs of priority 0. It is called for each new version of the configuration.
--- a/internal/work/dispatch/pacing_test.go
+++ b/internal/work/dispatch/pacing_test.go
@@ -87,7 +87,7 @@
 			r.percent = 100
 		}
 	}
-	is.Equal(d.m.jobs[id].steps[0].unavailable(), 0)
+	is.Equal(d.m.jobs[id].steps[0].unavailableTasks(), 0)
 	draining := d.m.sortedTargets[0]
 	before := len(draining.runs)
 	is.True(before >= 2)
--- a/internal/work/dispatch/poll.go
+++ b/internal/work/dispatch/poll.go
@@ -253,10 +253,10 @@
 // fenced ends the term: the target has accepted orders of another leader with a higher
 // fencing token.
 func (m *Machine) fenced(t *target, step string) {
-	if !m.deposed {
+	if !m.superseded {
 		m.log.Decided("deposed", "step", step, "target", t.ID, "term", m.term)
 	}
-	m.deposed = true
+	m.superseded = true
 }
 
 // incarnationEnded removes a target whose incarnation has ended: nothing runs there any
--- a/internal/work/dispatch/preemption.go
+++ b/internal/work/dispatch/preemption.go
@@ -22,14 +22,14 @@
 		if !s.eligible(t, now) || m.reservedForOther(t, s) || x.attempts().avoids(t) {
 			continue
 		}
-		if o := plan.optionOn(t); o.ok && (best == nil || o.cost < bestOption.cost) {
+		if o := plan.optionOn(t); o.ok && (best == nil || o.totalLoss < bestOption.totalLoss) {
 			best, bestOption = t, o
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	if bestOption.cost > m.allowedLoss(s, 1, now) {
+	if bestOption.totalLoss > m.allowedLoss(s, 1, now) {
 		m.reserve(s, []*target{best})
 		return nil
 	}
@@ -60,9 +60,9 @@
 	for _, set := range sets {
 		plan := m.newPreemptionPlan(s, now)
 		if best != nil {
-			plan.maxCost = best.cost
+			plan.maxLoss = best.totalLoss
 		}
-		if plan.fillSet(set.targets) {
+		if plan.addAllTasks(set.targets) {
 			best = plan
 		}
 	}
@@ -70,7 +70,7 @@
 	if best == nil {
 		return nil
 	}
-	if best.cost > m.allowedLoss(s, len(s.tasks), now) {
+	if best.totalLoss > m.allowedLoss(s, len(s.tasks), now) {
 		s.reservation = best.targets
 		m.reserve(s, best.targets)
 		return nil
@@ -87,27 +87,27 @@
 
 // preemptionPlan is a plan to preempt runs for the tasks of a step.
 type preemptionPlan struct {
-	m       *Machine
-	step    *step
-	now     time.Time
-	charge  graph.Resources
-	freeOn  map[*target]graph.Resources // free capacity once the victims have ended, minus the planned tasks
-	planned map[*target]int             // number of planned tasks
-	victims map[*run]bool
-	targets []*target // one for each planned task
-	cost    float64   // of all victims
-	maxCost float64   // planning stops when cost reaches it
+	m         *Machine
+	step      *step
+	now       time.Time
+	charge    graph.Resources
+	freeOn    map[*target]graph.Resources // free capacity once the victims have ended, minus the planned tasks
+	planned   map[*target]int             // number of planned tasks
+	victims   map[*run]bool
+	targets   []*target // one for each planned task
+	totalLoss float64   // of all victims
+	maxLoss   float64   // planning stops when cost reaches it
 }
 
 func (m *Machine) newPreemptionPlan(s *step, now time.Time) *preemptionPlan {
-	return &preemptionPlan{m: m, step: s, now: now, charge: s.spec.Charge(), maxCost: math.Inf(1)}
+	return &preemptionPlan{m: m, step: s, now: now, charge: s.spec.Charge(), maxLoss: math.Inf(1)}
 }
 
-// fillSet plans all tasks of the step on a set, each where it costs least, and reports
+// addAllTasks plans all tasks of the step on a set, each where it costs least, and reports
 // whether it succeeded. It stops as soon as the cost reaches maxCost, since most sets are
 // no better than the best so far.
-func (p *preemptionPlan) fillSet(set []*target) bool {
-	if !p.canFit(set) {
+func (p *preemptionPlan) addAllTasks(set []*target) bool {
+	if !p.fitsIfPreempted(set) {
 		return false
 	}
 	options := make([]preemptionOption, len(set))
@@ -117,14 +117,14 @@
 	for range p.step.tasks {
 		best := -1
 		for i := range options {
-			if options[i].ok && (best < 0 || options[i].cost < options[best].cost) {
+			if options[i].ok && (best < 0 || options[i].totalLoss < options[best].totalLoss) {
 				best = i
 			}
 		}
 		if best < 0 {
 			return false
 		}
-		if p.cost+options[best].cost >= p.maxCost {
+		if p.totalLoss+options[best].totalLoss >= p.maxLoss {
 			return false
 		}
 		stopsGang := p.addTask(set[best], options[best])
@@ -137,8 +137,8 @@
 	return true
 }
 
-// canFit reports whether the tasks fit on a set if all preemptible runs there stop.
-func (p *preemptionPlan) canFit(set []*target) bool {
+// fitsIfPreempted reports whether the tasks fit on a set if all preemptible runs there stop.
+func (p *preemptionPlan) fitsIfPreempted(set []*target) bool {
 	n := 0
 	for _, t := range set {
 		n += min(tasksThatFit(p.charge, p.m.preemptibleCapacity(t, p.now)), max(p.step.perTargetLeft(t), 0))
@@ -187,9 +187,9 @@
 
 // preemptionOption is a way to fit one more task on a target.
 type preemptionOption struct {
-	victims []victim // runs to stop
-	cost    float64
-	ok      bool // the task can fit
+	victims   []victim // runs to stop
+	totalLoss float64
+	ok        bool // the task can fit
 }
 
 // optionOn returns the runs to stop on a target so that one more task fits. It takes the
@@ -226,7 +226,7 @@
 			continue
 		}
 		o.victims = append(o.victims, list[i])
-		o.cost += list[i].loss
+		o.totalLoss += list[i].loss
 	}
 	return o
 }
@@ -267,7 +267,7 @@
 	}
 	p.planned[t]++
 	p.targets = append(p.targets, t)
-	p.cost += o.cost
+	p.totalLoss += o.totalLoss
 	return stopsGang
 }
 
@@ -298,7 +298,7 @@
 	}
 	slices.SortFunc(list, compareRuns)
 	size := coreEquivalents(plan.step.spec.Needs) * plan.step.spec.Estimate.Seconds() * float64(len(plan.targets))
-	m.log.Decided("runs preempted", "step", plan.step.id, "runs", len(list), "lossCoreS", int(plan.cost), "gainCoreS", int(size), "waitedMS", m.wallMS(now)-plan.step.releaseTime())
+	m.log.Decided("runs preempted", "step", plan.step.id, "runs", len(list), "lossCoreS", int(plan.totalLoss), "gainCoreS", int(size), "waitedMS", m.wallMS(now)-plan.step.releaseTime())
 	for _, r := range list {
 		m.stop(r, "preempted for "+plan.step.id.String(), now)
 		m.pass.invalidate(r.target) // its runs cannot be stopped again in this pass
--- a/internal/work/dispatch/schedule.go
+++ b/internal/work/dispatch/schedule.go
@@ -14,7 +14,7 @@
 // starts, stops, polls and saves among them. The caller calls it after it has passed in
 // new events, and when NextDecision says so.
 func (m *Machine) Decide(now time.Time) []Command {
-	if m.placementEnabled && m.placementDue && !m.deposed && !m.awaitingReports(now) && m.stateIsCurrent(now) {
+	if m.placementEnabled && m.placementDue && !m.superseded && !m.awaitingReports(now) && m.stateIsCurrent(now) {
 		m.recordWaiting(now)
 		if now.Before(m.nextPassAt) {
 			m.placeNewSteps(now)
@@ -31,7 +31,7 @@
 	m.sendSaves(now)
 	out := m.commands
 	m.commands = nil
-	if m.deposed {
+	if m.superseded {
 		return nil
 	}
 	return out
@@ -45,7 +45,7 @@
 	if ready := m.placementEnabledAt.Add(reportWait); at.Before(ready) {
 		at = ready
 	}
-	return at, m.placementEnabled && m.placementDue && !m.deposed && m.stateIsCurrent(now)
+	return at, m.placementEnabled && m.placementDue && !m.superseded && m.stateIsCurrent(now)
 }
 
 // considerPoll has the next Decide check whether a target is due for a poll.
@@ -70,7 +70,7 @@
 	// preemptibleCapacity is the capacity of targets that is free if all preemptible runs
 	// stop.
 	preemptibleCapacity map[*target]graph.Resources
-	unplaceable         []unplaceable // gangs that do not fit without preemption
+	unplaceable         []unplaceableGang // gangs that do not fit without preemption
 }
 
 // invalidate drops the cached values of a target.
