--- a/internal/fleet/health/record.go
+++ b/internal/fleet/health/record.go
@@ -9,8 +9,7 @@
 const (
 	// priorOdds are the odds that a target without evidence is unhealthy: one in fifty.
 	priorOdds = 0.02
-	// taskFailureRate is the share of runs that fail through their own fault, as given
-	// by the users' request sheets, rounded up.
+	// taskFailureRate is the share of runs that fail through their own fault, rounded up.
 	taskFailureRate = 0.05
 	// unhealthyFailureRate is the share of runs that fail on an unhealthy target.
 	unhealthyFailureRate = 0.9
--- a/internal/host/entry/entry.go
+++ b/internal/host/entry/entry.go
@@ -170,7 +170,7 @@
 	}
 }
 
-// Caller is the client or operator that asks about a stored job.
+// Caller is the client or operator that queries or cancels a stored job.
 type Caller struct {
 	Account  string `json:"account,omitempty"`
 	Operator bool   `json:"operator,omitempty"` // may see and cancel the jobs of every account
--- a/internal/host/entry/write.go
+++ b/internal/host/entry/write.go
@@ -110,7 +110,7 @@
 func (w *pendingWrite) answer(ctx context.Context, err error) {
 	select {
 	case w.answers <- err:
-	case <-ctx.Done(): // the caller has given up
+	case <-ctx.Done(): // the outcome is waited for no longer
 	}
 }
 
--- a/internal/work/dispatch/accept.go
+++ b/internal/work/dispatch/accept.go
@@ -82,6 +82,7 @@
 	}
 }
 
+// parseStepKey parses a key that stepKey has made.
 func parseStepKey(k string) (occurrence, step int, ok bool) {
 	a, b, found := strings.Cut(k, ".")
 	occurrence, err1 := strconv.Atoi(a)
@@ -89,6 +90,7 @@
 	return occurrence, step, found && err1 == nil && err2 == nil && occurrence >= 0 && step >= 0
 }
 
+// restoreStep applies the saved progress of a step.
 func (m *Machine) restoreStep(s *step, k *progress.Step, now time.Time) {
 	if s.spec.Gang {
 		s.gangAttempts.failed, s.savedCheckpoint = k.FailedRuns[0], k.Checkpoints[0]
@@ -135,7 +137,8 @@
 	t.used = t.used.Plus(r.charge)
 }
 
-// openDueOccurrences opens the due occurrences of a job.
+// openDueOccurrences opens the due occurrences of a job. Of a recurring job, openRecurring
+// opens the later ones.
 func (m *Machine) openDueOccurrences(j *job, now time.Time) {
 	if j.spec.Repeat > 0 && j.opened == 0 && !slices.Contains(m.recurring, j) {
 		m.recurring = append(m.recurring, j)
@@ -145,6 +148,8 @@
 	}
 }
 
+// openNextOccurrence creates the steps of the next occurrence of a job and enqueues those
+// that depend on no others.
 func (m *Machine) openNextOccurrence(j *job, now time.Time) {
 	for _, s := range j.createOccurrence() {
 		if s.blockedBy == 0 {
@@ -161,7 +166,7 @@
 	}
 }
 
-// stepUnblocked enqueues a step whose earlier steps are all done.
+// stepUnblocked enqueues a step that depends on no step that is not done.
 func (m *Machine) stepUnblocked(s *step, now time.Time) {
 	m.enqueueStep(s, now)
 }
@@ -184,6 +189,7 @@
 	}
 }
 
+// cancel ends a job as cancelled, unless a final state of it is published already.
 func (m *Machine) cancel(j *job, now time.Time) {
 	if j.published.Final() || j.cancelled {
 		return
@@ -194,7 +200,7 @@
 	m.endJob(j, progress.Cancelled, now)
 }
 
-// unknownStep returns a placeholder for the step of a run whose task is not known.
+// unknownStep returns a placeholder for the step of a run whose job or task is not known.
 func unknownStep(r order.Run) *step {
 	spec := &graph.Job{ID: r.Task.Job, Steps: []graph.Step{{}}}
 	j := newJob(spec, 0, time.Time{})
--- a/internal/work/dispatch/advice.go
+++ b/internal/work/dispatch/advice.go
@@ -34,13 +34,14 @@
 
 // permits holds the answers of the advice service for a step.
 type permits struct {
-	tickets map[string]ticket // by target
-	denied  map[string]bool   // targets that may not run it, by incarnation
+	tickets map[string]ticket // by target id
+	denied  map[string]bool   // target ids that got no ticket in the last answer about them
 }
 
+// ticket permits a step to run on one target.
 type ticket struct {
-	text  string
-	until time.Time
+	text  string    // as the start carries it
+	until time.Time // end of its validity
 }
 
 // permitted reports whether a target may run the step now; a step of a queue without
@@ -53,11 +54,12 @@
 	return ok && now.Add(ticketMargin).Before(k.until)
 }
 
-// ticket returns the ticket for a start of the step on a target; empty if there is none.
+// ticket returns the text of the ticket for a start of the step on a target; empty if
+// there is none.
 func (s *step) ticket(t *target) string { return s.permits.tickets[t.ID].text }
 
-// requestAdvice asks for permission to run a pending step on targets that could take its
-// tasks: those with free capacity first.
+// requestAdvice issues an Advise that asks for permission to run a pending step on
+// targets that could take its tasks: those with free capacity first.
 func (m *Machine) requestAdvice(s *step, now time.Time) {
 	if !s.job.spec.Advised || m.advicePending || now.Before(m.nextAdviceAt) {
 		return
@@ -111,7 +113,7 @@
 	}
 }
 
-// findStep returns a step of an open occurrence, or nil.
+// findStep returns the step, or nil if its job is not known or its occurrence is not open.
 func (m *Machine) findStep(id graph.StepID) *step {
 	j := m.jobs[id.Job]
 	if j == nil {
--- a/internal/work/dispatch/attempts.go
+++ b/internal/work/dispatch/attempts.go
@@ -8,7 +8,7 @@
 // attempts records the outcomes of the runs of a task or, for a gang, of its step. The
 // zero value is that of a task that was never started.
 type attempts struct {
-	failed         []int                // numbers of the failed runs
+	failed         []int                // numbers of the runs that failed
 	avoidedTargets map[string]time.Time // targets to avoid, and when a run failed there; zero: it only stalled, was slow or had to move
 	uncertain      map[int]time.Time    // runs that ended with unknown outcome, and until when it may still be reported
 	earlyFailureAt time.Time            // last failure so early that it is evidence against the target; zero: none
@@ -55,7 +55,8 @@
 	return n
 }
 
-// avoid marks a target as one to avoid for further runs.
+// avoid marks a target as one to avoid for further runs: they go there only if no other
+// target fits.
 func (a *attempts) avoid(t *target) {
 	if a.avoidedTargets == nil {
 		a.avoidedTargets = map[string]time.Time{}
@@ -82,7 +83,7 @@
 	// takes, so that a busy target stays proven.
 	provenTime = 4 * time.Second
 	// lastAttemptWait is how long after an early failure a last attempt waits for a target
-	// to be proven: a run that began there since then has gone well. Each target that got
+	// to be proven: a run that began there since then has succeeded. Each target that got
 	// work has reported by the end of the wait, since a poll takes two seconds at most.
 	lastAttemptWait = maxPollWait + 200*time.Millisecond
 )
@@ -93,7 +94,7 @@
 }
 
 // excludes reports whether a task must not run on a target yet. On a target where it
-// failed a moment ago it would probably fail again. When several targets begin to fail
+// failed recently it would probably fail again. When several targets begin to fail
 // their runs, it is not known at first which others do, too: so a last attempt waits for
 // a target that has been proven since.
 func (x *task) excludes(t *target, now time.Time) bool {
--- a/internal/work/dispatch/backlog.go
+++ b/internal/work/dispatch/backlog.go
@@ -13,8 +13,8 @@
 
 // backlog counts the pending starts: decided and not answered.
 type backlog struct {
-	limit         int // 0: none
-	urgent, total int
+	limit         int // number from which nothing more is placed; 0: none
+	urgent, total int // of jobs of priority 0, and of all jobs
 }
 
 // SetMaxPendingStarts sets how many starts may be pending before nothing more is placed;
@@ -56,6 +56,7 @@
 	}
 }
 
+// add counts a pending start.
 func (b *backlog) add(r *run) {
 	b.total++
 	if r.task.step.job.spec.Priority == 0 {
--- a/internal/work/dispatch/command.go
+++ b/internal/work/dispatch/command.go
@@ -13,8 +13,7 @@
 // Pace.
 type Command interface{ command() }
 
-// Start orders a target to start a run. The answer goes to
-// Machine.StartAnswered.
+// Start orders a target to start a run. The answer goes to Machine.StartAnswered.
 type Start struct {
 	Target order.Address
 	Zone   string // zone of the target
@@ -22,8 +21,7 @@
 	Class  limiter.Class // class in which it queues
 }
 
-// Stop orders a target to stop a run. The answer goes to
-// Machine.StopAnswered.
+// Stop orders a target to stop a run. The answer goes to Machine.StopAnswered.
 type Stop struct {
 	Target order.Address
 	Run    order.Run
--- a/internal/work/dispatch/ends.go
+++ b/internal/work/dispatch/ends.go
@@ -25,6 +25,7 @@
 	return runs
 }
 
+// compareRuns orders runs by task and number.
 func compareRuns(a, b *run) int {
 	x, y := a.Task, b.Task
 	return cmp.Or(cmp.Compare(x.Job, y.Job), cmp.Compare(x.Occurrence, y.Occurrence), cmp.Compare(x.Step, y.Step),
@@ -173,6 +174,7 @@
 	m.completeIfDone(s.job, now)
 }
 
+// markTaskDone marks one task as done and stops its other runs.
 func (m *Machine) markTaskDone(x *task, now time.Time) {
 	if x.done {
 		return
--- a/internal/work/dispatch/evacuation.go
+++ b/internal/work/dispatch/evacuation.go
@@ -30,6 +30,7 @@
 	m.checkGuarantees()
 }
 
+// evacuateZone keeps new work off the targets of a zone and drops their unsent starts.
 func (m *Machine) evacuateZone(zone string, now time.Time) {
 	targets, runs, unsent := 0, 0, 0
 	for _, t := range m.sortedTargets {
@@ -50,6 +51,7 @@
 	m.log.Decided("zone evacuated", "zone", zone, "targets", targets, "runs", runs, "unsent", unsent, "knownForMS", now.Sub(m.evacuated.AsOf).Milliseconds())
 }
 
+// restoreZone lets the targets of a zone get work again.
 func (m *Machine) restoreZone(zone string) {
 	targets := 0
 	for _, t := range m.sortedTargets {
--- a/internal/work/dispatch/fit.go
+++ b/internal/work/dispatch/fit.go
@@ -61,7 +61,7 @@
 	cold             int // 1 if the target is warming up
 	remote           int // 1 if the task's data is on another rack
 	interference     int // number of tasks there that would disturb it or that it would disturb
-	stranded         int // accelerators that other tasks could use before, but not beside it
+	stranded         int // accelerators that other tasks could use now, but not beside this one
 	acceleratorsLeft int // accelerators left free
 	cpuLeft          int // CPU left free
 }
--- a/internal/work/dispatch/gang.go
+++ b/internal/work/dispatch/gang.go
@@ -9,8 +9,8 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// placeGang places all tasks of a gang or none. It always returns true, since the step
-// stays pending until it is done.
+// placeGang places all tasks of a gang or none. Like placeStep it reports whether the step
+// stays pending, which a gang does until it is done.
 func (m *Machine) placeGang(s *step, now time.Time) bool {
 	for _, x := range s.tasks {
 		if len(x.runs) > 0 {
@@ -158,7 +158,7 @@
 
 // planOnSets plans a gang on the set that is left with the fewest free accelerators. If
 // the gang fits none, or unplaceable says so, and preemption is allowed, it plans on the
-// set with the least cost of preemption.
+// set where preemption loses the least work.
 func (m *Machine) planOnSets(s *step, sets []targetSet, unplaceable, preempt bool, now time.Time) []*target {
 	var best []*target
 	bestLeft := 0
@@ -188,8 +188,8 @@
 	return s.job.spec.Priority == 0 && (!now.Before(s.nextPreemptionAt) || m.guaranteeDue(s, now))
 }
 
-// unplaceableGang is a gang that did not fit in this pass. A gang that needs more does not fit
-// either.
+// unplaceableGang is a gang that did not fit in this pass without preemption. A gang that
+// needs more does not fit either.
 type unplaceableGang struct {
 	step   *step
 	slower bool // slower sets were tried, too
@@ -216,9 +216,9 @@
 	return false
 }
 
-// planWithoutPreemption returns a plan that puts each task of a gang on the best fitting target of a set,
-// and how many accelerators of the set the plan leaves free. The plan is nil if the gang
-// does not fit.
+// planWithoutPreemption returns a plan that puts each task of a gang on the best fitting
+// target of a set, and how many accelerators of the set the plan leaves free. The plan is
+// nil if the gang does not fit in the free capacity.
 func (m *Machine) planWithoutPreemption(s *step, targets []*target, now time.Time) (plan []*target, left int) {
 	charge := s.spec.Charge()
 	free := make([]graph.Resources, len(targets))
--- a/internal/work/dispatch/gang_end.go
+++ b/internal/work/dispatch/gang_end.go
@@ -11,7 +11,7 @@
 	brokenMembers map[int]bool // by index of the task
 }
 
-// recordBrokenMember notes that a member of a gang ended because another one had.
+// recordBrokenMember records that a member of a gang ended because another one had.
 func (m *Machine) recordBrokenMember(r *run, now time.Time) {
 	s := r.task.step
 	if !s.spec.Gang {
--- a/internal/work/dispatch/health_test.go
+++ b/internal/work/dispatch/health_test.go
@@ -161,8 +161,8 @@
 }
 
 // A task has failed once and has one attempt left. It waits a while for a target on which
-// a run that began since then goes well. Then it goes to a target on which a run went
-// well a moment ago, though a target without evidence fits it better.
+// a run that began since then succeeds. Then it goes to a target on which a run succeeded
+// recently, though a target without evidence fits it better.
 func TestLastAttemptPrefersProvenTarget(t *testing.T) {
 	is := is.New(t)
 	d, x := newLastAttempt(t)
--- a/internal/work/dispatch/job.go
+++ b/internal/work/dispatch/job.go
@@ -42,7 +42,7 @@
 	tasksLeft        int
 	done             bool
 	dueAt            int64     // when its occurrence is due, in milliseconds since 1970; 0: no due time
-	highestGangRun   int       // highest run number of a gang
+	highestGangRun   int       // highest run number of its tasks; used for gangs only
 	doneRun          int       // number of the run that was done last; 0: none or not known
 	doneAt           time.Time // when the machine learned that it was done
 	savedCheckpoint  string    // checkpoint that a gang resumes from
@@ -53,7 +53,7 @@
 	speeds           stepSpeeds      // speeds of its tasks, as last measured
 	pausedUntil      time.Time       // a gang is not placed before
 	nextPreemptionAt time.Time       // earliest time of the next search for work to preempt
-	reservation      []*target       // targets reserved for it until then
+	reservation      []*target       // targets reserved for it until nextPreemptionAt
 	rank             int64           // order among the pending steps in this pass, lowest first
 	criticalPath     time.Duration   // estimated duration of the critical path from this step on
 	queued           bool            // it is in Machine.pendingSteps
--- a/internal/work/dispatch/load_test.go
+++ b/internal/work/dispatch/load_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// workload submits random jobs of three kinds, as the users' request sheets describe them:
-// large gangs, urgent gangs and wide steps of small tasks.
+// workload submits random jobs of the three kinds that clients submit: large gangs, urgent
+// gangs and wide steps of small tasks.
 type workload struct {
 	*simulation
 	rnd         *rand.Rand
--- a/internal/work/dispatch/long_running.go
+++ b/internal/work/dispatch/long_running.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// moveLongRunning moves long-running tasks off a draining target, at a time no more of a
-// step than may be unavailable. Each is then unavailable for a moment only, instead of
-// from the target's end until that is noticed.
+// moveLongRunning moves long-running tasks off a draining target, never more of a step at
+// a time than may be unavailable. Each is then unavailable only until it has started up
+// elsewhere, instead of from the target's end until that is detected and for the start.
 func (m *Machine) moveLongRunning(t *target, now time.Time) {
 	if !t.Draining {
 		return
@@ -20,7 +20,7 @@
 	}
 }
 
-// unavailableTasks returns how many tasks of a long-running step are not serving.
+// unavailableTasks returns how many tasks of a long-running step are not available.
 func (s *step) unavailableTasks() int {
 	n := 0
 	for _, x := range s.tasks {
@@ -31,7 +31,7 @@
 	return n
 }
 
-// available reports whether a long-running task has started up and serves.
+// available reports whether a long-running task has started up.
 func (x *task) available() bool {
 	for _, r := range x.runs {
 		if r.phase == running && r.percent == 100 {
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -25,12 +25,12 @@
 	recurring          []*job  // jobs that recur, in the order of their arrival
 	pendingSteps       []*step // steps with tasks to start, by rank as of the last pass, new ones last
 	partitions         []partition
-	commands           []Command
-	placementEnabled   bool // set by EnablePlacement
+	commands           []Command // issued since the last Decide
+	placementEnabled   bool      // set by EnablePlacement
 	placementEnabledAt time.Time
 	listAsOf           time.Time // when the current list of targets was read
 	pollCandidates     []*target // targets that may be due for a poll
-	newSteps           []*step   // steps opened since the last pass
+	newSteps           []*step   // steps enqueued since the last pass
 	nextPassAt         time.Time // earliest start of the next pass
 	pass               pass
 	backlog            backlog
@@ -93,7 +93,8 @@
 // Decide returns no commands from then on, and the caller ends the term.
 func (m *Machine) Superseded() bool { return m.superseded }
 
-// MarkSuperseded ends the machine's term. The caller uses it when the store shows a newer term.
+// MarkSuperseded ends the machine's term. The caller uses it when the store shows a newer
+// term.
 func (m *Machine) MarkSuperseded() { m.superseded = true }
 
 // SetGuarantees sets how many accelerators each client account is guaranteed for its
@@ -170,6 +171,7 @@
 	return m.bounds.MaxListAge == 0 || now.Sub(m.listAsOf) <= m.bounds.MaxListAge
 }
 
+// updateTarget applies the entry of a target in the list.
 func (m *Machine) updateTarget(l roster.Target, now time.Time) {
 	t := m.targets[l.ID]
 	if t == nil {
@@ -192,6 +194,7 @@
 	m.considerPoll(t)
 }
 
+// addTarget adds a target that has no runs yet.
 func (m *Machine) addTarget(l roster.Target) *target {
 	t := &target{Target: l, runs: map[order.Run]*run{}}
 	m.targets[l.ID] = t
--- a/internal/work/dispatch/orders.go
+++ b/internal/work/dispatch/orders.go
@@ -73,6 +73,7 @@
 	return n
 }
 
+// sendStart sends the start of a run, for the first time or again.
 func (m *Machine) sendStart(r *run, now time.Time) {
 	t := r.target
 	r.startsSent++
@@ -207,6 +208,7 @@
 	m.sendStop(r, now)
 }
 
+// sendStop sends the stop of a run, for the first time or again.
 func (m *Machine) sendStop(r *run, now time.Time) {
 	r.sentAt, r.orderPending = now, true
 	m.commands = append(m.commands, Stop{Target: r.target.address(), Run: r.Run, Class: r.target.class(limiter.Stop)})
@@ -221,7 +223,7 @@
 }
 
 // class returns the limiter class of an order to the target: normal if the target
-// answers.
+// answers, and Probe otherwise.
 func (t *target) class(normal limiter.Class) limiter.Class {
 	if t.responsive() && t.reach != unreachable {
 		return normal
--- a/internal/work/dispatch/pacing.go
+++ b/internal/work/dispatch/pacing.go
@@ -7,9 +7,9 @@
 )
 
 // Best-effort tasks use the processor time that others leave, and slow down serving tasks
-// on the same target by amounts that are not known beforehand and change within seconds.
-// So the tail latency that a target reports controls at which share of its speed a
-// best-effort task works.
+// (those with a limit on their tail latency) on the same target by amounts that are not
+// known beforehand and change within seconds. So the tail latency that a target reports
+// controls at which share of its speed a best-effort task works.
 
 // Parameters of pacing. Harm is counted only after the tail latency has exceeded its
 // limit for some consecutive seconds.
@@ -59,8 +59,9 @@
 	}
 }
 
-// nextShare returns the next share of a best-effort run: half when the tail latency is
-// near its limit, none when it has reached it, a little more when it is well below.
+// nextShare returns the next share of a best-effort run, in percent: half when the tail
+// latency is near its limit, none when it has reached it, a little more when it is well
+// below.
 func nextShare(share int, ratio float64) int {
 	switch {
 	case ratio >= 1:
@@ -116,7 +117,7 @@
 // started: it may have been slowed down to nothing, so it is sped up from there.
 const adoptedShare = paceStep
 
-// initialShare returns the share that is assumed for a run found on a target.
+// initialShare returns the share that is assumed for a run that an earlier leader started.
 func initialShare(s *step) int {
 	if s.spec.BestEffortCPU {
 		return adoptedShare
--- a/internal/work/dispatch/poll.go
+++ b/internal/work/dispatch/poll.go
@@ -127,6 +127,8 @@
 	return false
 }
 
+// sendPoll polls a target. A reachable one gets its lease renewed, and waits up to the
+// given time for an end before it answers.
 func (m *Machine) sendPoll(t *target, wait time.Duration, now time.Time) {
 	o := order.Poll{Term: m.term, Acked: t.acked}
 	if t.reach == reachable { // the lease of an unreachable target must lapse
--- a/internal/work/dispatch/preemption.go
+++ b/internal/work/dispatch/preemption.go
@@ -10,8 +10,9 @@
 )
 
 // preemptFor preempts work of lower priority for a task of priority 0 on the target where
-// that costs least, and returns the target. It returns nil if preemption does not free
-// enough on any target, or if the cost is not allowed yet; then the target is reserved.
+// that loses the least work, and returns the target. It returns nil if preemption does not
+// free enough on any target, or if the loss is not allowed yet; then the target is
+// reserved.
 func (m *Machine) preemptFor(x *task, now time.Time) *target {
 	s := x.step
 	plan := m.newPreemptionPlan(s, now)
@@ -52,9 +53,9 @@
 	}
 }
 
-// preemptForGang preempts work for a gang on the set where that costs least, and returns a
-// target for each of its tasks. It returns nil if preemption does not free enough on any
-// set, or if the cost is not allowed yet; then the planned targets are reserved.
+// preemptForGang preempts work for a gang on the set where that loses the least work, and
+// returns a target for each of its tasks. It returns nil if preemption does not free enough
+// on any set, or if the loss is not allowed yet; then the planned targets are reserved.
 func (m *Machine) preemptForGang(s *step, sets []targetSet, now time.Time) []*target {
 	var best *preemptionPlan
 	for _, set := range sets {
@@ -96,16 +97,16 @@
 	victims   map[*run]bool
 	targets   []*target // one for each planned task
 	totalLoss float64   // of all victims
-	maxLoss   float64   // planning stops when cost reaches it
+	maxLoss   float64   // planning stops when totalLoss reaches it
 }
 
 func (m *Machine) newPreemptionPlan(s *step, now time.Time) *preemptionPlan {
 	return &preemptionPlan{m: m, step: s, now: now, charge: s.spec.Charge(), maxLoss: math.Inf(1)}
 }
 
-// addAllTasks plans all tasks of the step on a set, each where it costs least, and reports
-// whether it succeeded. It stops as soon as the cost reaches maxCost, since most sets are
-// no better than the best so far.
+// addAllTasks plans all tasks of the step on a set, each where that loses the least work,
+// and reports whether it succeeded. It stops as soon as the total loss reaches maxLoss,
+// since most sets are no better than the best so far.
 func (p *preemptionPlan) addAllTasks(set []*target) bool {
 	if !p.fitsIfPreempted(set) {
 		return false
@@ -137,7 +138,8 @@
 	return true
 }
 
-// fitsIfPreempted reports whether the tasks fit on a set if all preemptible runs there stop.
+// fitsIfPreempted reports whether the step's tasks fit on a set if all preemptible runs
+// there stop.
 func (p *preemptionPlan) fitsIfPreempted(set []*target) bool {
 	n := 0
 	for _, t := range set {
@@ -193,7 +195,7 @@
 }
 
 // optionOn returns the runs to stop on a target so that one more task fits. It takes the
-// cheapest runs until the task fits, and drops those that are not needed.
+// runs with the smallest losses until the task fits, and drops those that are not needed.
 func (p *preemptionPlan) optionOn(t *target) preemptionOption {
 	p.m.targetsConsidered++
 	if p.step.perTargetLeft(t)-p.planned[t] <= 0 {
@@ -217,7 +219,7 @@
 	return preemptionOption{}
 }
 
-// prune drops victims that are not needed, the most costly first.
+// prune drops victims that are not needed, those with the largest losses first.
 func (p *preemptionPlan) prune(list []victim, free graph.Resources) preemptionOption {
 	o := preemptionOption{ok: true}
 	for i := len(list) - 1; i >= 0; i-- {
@@ -231,8 +233,8 @@
 	return o
 }
 
-// victimsOn returns the runs on a target that may be stopped for work of priority 0, the
-// cheapest first.
+// victimsOn returns the runs on a target that may be stopped for work of priority 0, those
+// with the smallest losses first.
 func (m *Machine) victimsOn(t *target, now time.Time) []victim {
 	if list, ok := m.pass.victims[t]; ok {
 		return list
@@ -314,7 +316,7 @@
 	return float64(r.CPU)/1000 + acceleratorCores*float64(r.Accelerators)
 }
 
-// restartLoss is the cost of a stop besides the lost work, in seconds of the run. It
+// restartLoss is the loss from a stop besides the unsaved work, in seconds of the run. It
 // covers stopping, starting again and resuming.
 const restartLoss = 0.5
 
--- a/internal/work/dispatch/query.go
+++ b/internal/work/dispatch/query.go
@@ -10,7 +10,7 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// State returns the state of a job that clients may see, and whether the job is known.
+// State returns the state of a job as clients may see it, and whether the job is known.
 func (m *Machine) State(id graph.JobID) (progress.State, bool) {
 	j := m.jobs[id]
 	if j == nil {
@@ -27,7 +27,7 @@
 	return j.published
 }
 
-// Status returns the status of a job that clients may see, and whether the job is known.
+// Status returns the status of a job as clients may see it, and whether the job is known.
 func (m *Machine) Status(id graph.JobID) (view.JobStatus, bool) {
 	j := m.jobs[id]
 	if j == nil {
--- a/internal/work/dispatch/run.go
+++ b/internal/work/dispatch/run.go
@@ -37,7 +37,7 @@
 	checkpoint      string    // newest checkpoint reported
 	ticket          string    // advice ticket that the start carries
 	paceShare       int       // share of full speed that a best-effort run is allowed, in percent
-	gauge           int       // Running.Gauge, as the target last reported it
+	gauge           int       // order.Running.Gauge as last reported: tail latency in ms of a serving task
 	percent         int       // progress last reported
 	reportedAt      time.Time // when the progress was last reported
 	progressedAt    time.Time // when the progress last changed
--- a/internal/work/dispatch/save.go
+++ b/internal/work/dispatch/save.go
@@ -68,6 +68,7 @@
 	return SaveRow{Job: j.spec.ID, Value: value, Version: j.version, Completes: j.state == progress.Completed || j.state == progress.Failed}
 }
 
+// stepKey returns the key of a step in a progress row.
 func stepKey(id graph.StepID) string {
 	return strconv.Itoa(id.Occurrence) + "." + strconv.Itoa(id.Step)
 }
@@ -117,6 +118,7 @@
 	return k
 }
 
+// put sets a value in a map, which it creates if it is nil, and returns the map.
 func put[V any](m map[int]V, k int, v V) map[int]V {
 	if m == nil {
 		m = map[int]V{}
--- a/internal/work/dispatch/schedule.go
+++ b/internal/work/dispatch/schedule.go
@@ -86,7 +86,7 @@
 	m.countBacklog(now)
 }
 
-// placeNewSteps places the steps of priority 0 that were opened since the last pass, so
+// placeNewSteps places the steps of priority 0 that were enqueued since the last pass, so
 // that urgent work does not wait for the next pass.
 func (m *Machine) placeNewSteps(now time.Time) {
 	steps := m.newSteps
@@ -171,8 +171,7 @@
 	return slices.ContainsFunc(m.sortedTargets, func(t *target) bool { return t.listed && t.reach == notPolled })
 }
 
-// lateFactor is the multiple of its objective within which a job still earns value, by the
-// users' rule for late jobs.
+// lateFactor is the multiple of its objective within which a late job still earns value.
 const lateFactor = 3
 
 // worthlessRank ranks steps of jobs that can earn no value any more behind all others.
--- a/internal/work/dispatch/straggler.go
+++ b/internal/work/dispatch/straggler.go
@@ -117,6 +117,7 @@
 	return slowdown
 }
 
+// onSeveralRacks reports whether the step has runs on more than one rack.
 func (s *step) onSeveralRacks() bool {
 	rack, seen := "", false
 	for _, x := range s.tasks {
@@ -133,7 +134,7 @@
 // straggles reports whether a run is so slow that it would end earlier from its
 // checkpoint on a healthy target. The speed of the step's other tasks shows how far its
 // estimate is off. Runs without checkpoints are not moved: they would lose more than they
-// gain.
+// gain. The run's speed is recorded as evidence about its target.
 func (m *Machine) straggles(r *run, now time.Time) bool {
 	speeds := m.speedsOf(r.task.step, now)
 	slowdown := m.remoteSlowdown(r, speeds.severalRacks)
@@ -182,6 +183,7 @@
 	return &s.speeds
 }
 
+// add takes the speed of a run on a target into account.
 func (s *stepSpeeds) add(t *target, speed float64) {
 	switch {
 	case t == s.target:
--- a/internal/work/dispatch/target.go
+++ b/internal/work/dispatch/target.go
@@ -43,7 +43,7 @@
 	reportedAt          time.Time          // when it last reported
 	answeredAt          time.Time          // when it last answered any order or poll
 	unansweredSince     time.Time          // when the first order or poll without an answer was sent since it last answered; zero: none
-	zoneUnreachable     bool               // its zone seems unreachable, and it has not answered since
+	zoneUnreachable     bool               // its zone is considered unreachable, and it has not answered since
 	nextPollAt          time.Time          // earliest time of the next poll
 	reported            bool               // it has reported in this term
 	highestEnd          int64              // highest end number processed
@@ -65,6 +65,7 @@
 	rev    int64
 }
 
+// saved reports whether the end may be acknowledged.
 func (e unsavedEnd) saved() bool { return e.job == nil || e.job.savedRev >= e.rev }
 
 func (t *target) address() order.Address { return order.Address{ID: t.ID, Host: t.Address} }
@@ -74,7 +75,7 @@
 	return t.listed && t.reach == reachable && t.responsive() && t.clockMS != 0 && t.acceptsStarts() && !now.Before(t.suspendedUntil) && !t.health.Quarantined(now)
 }
 
-// removable reports whether the target can be forgotten: it has left the list, nothing
+// removable reports whether the target can be removed: it has left the list, nothing
 // may run there and no end is left to acknowledge.
 func (t *target) removable() bool {
 	return !t.listed && len(t.runs) == 0 && len(t.unsavedEnds) == 0 && (t.reach != reachable || t.acked == t.confirmedAck)
@@ -86,7 +87,7 @@
 	return t.usableCapacity().Minus(t.used).Minus(t.waitingCharge)
 }
 
-// estimatedClock estimates the target's clock.
+// estimatedClock estimates what the target's clock shows, in milliseconds.
 func (t *target) estimatedClock(now time.Time) int64 {
 	return t.clockMS + now.Sub(t.clockAt).Milliseconds()
 }
--- a/internal/work/dispatch/urgency.go
+++ b/internal/work/dispatch/urgency.go
@@ -7,9 +7,8 @@
 
 // Factors that bound the work lost to preemption for urgent work, as multiples of the
 // urgent work itself. The bound is low at the start of the urgent work's slack, since
-// runs often end and free their capacity in time, and reaches break-even by the users'
-// prices at its end: a job that ends in time earns about four times what its own work
-// would cost as waste.
+// runs often end and free their capacity in time, and reaches break-even at its end: a job
+// that ends in time earns about four times what its own work would cost as waste.
 const (
 	initialLossFactor = 2.0
 	finalLossFactor   = 4.0
@@ -39,7 +38,7 @@
 }
 
 // guaranteeDue reports whether a step is guaranteed to its account and must begin now to
-// meet the guarantee. It may then preempt at any cost.
+// meet the guarantee. It may then preempt with any loss.
 func (m *Machine) guaranteeDue(s *step, now time.Time) bool {
 	j := s.job
 	if j.spec.Priority != 0 || len(s.spec.After) > 0 || !m.withinGuarantee(j.spec.Account) {
