--- a/internal/host/dispatcher/safety_test.go
+++ b/internal/host/dispatcher/safety_test.go
@@ -83,8 +83,8 @@
 
 func somePartition() int { return dispatch.PartOf(someJob, Partitions) }
 
-// A leader does not know that it was succeeded. Its writes of progress after the successor
-// wrote its fence rows must fail: the successor has read the rows.
+// A leader has been superseded and does not know it. Its writes of progress after the next
+// leader wrote the fence rows must fail: the next leader has read the progress already.
 func TestProgressIsWrittenUnderFence(t *testing.T) {
 	is := is.New(t)
 	table, l, c := newFenced()
@@ -121,7 +121,7 @@
 }
 
 // A target takes half a second for a report that it need not wait for, longer than the
-// timeout of a start: TCP retransmits a lost packet after 0.2 s, and again after 0.4 s.
+// timeout of a start: TCP retransmits a lost packet after 0.2 s, and again 0.4 s later.
 // The target must not count as unreachable.
 func TestSlowReportIsAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
