--- a/internal/fleet/limiter/limit.go
+++ b/internal/fleet/limiter/limit.go
@@ -18,8 +18,8 @@
 	limitGain = 4
 	// maxShrink bounds how much faster the limit shrinks than it grows.
 	maxShrink = 4
-	// baseWindow is how long a minimum delay is remembered: the path may become longer
-	// for good, for example under a new leader in another zone.
+	// baseWindow is how long a minimum delay is remembered: the path may become
+	// longer permanently, for example under a new leader in another zone.
 	baseWindow = 10 * time.Second
 )
 
--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -102,7 +102,7 @@
 
 // New returns a dispatcher that does not lead yet.
 func New(s store.Store, t order.Transport, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
-	b.Parts, b.MaxListAge = Partitions, max(b.DrainTime-startMargin, 3*b.DrainTime/4)
+	b.Partitions, b.MaxListAge = Partitions, max(b.DrainTime-startMargin, 3*b.DrainTime/4)
 	d := &Dispatcher{store: s, transport: t, roster: r, bounds: b, clock: boottime.Now, metrics: tally.NoopScope, onJobEnded: func(dispatch.JobEnded) {}, recovered: func() <-chan struct{} { return nil }, log: log}
 	for _, o := range opts {
 		o(d)
@@ -138,7 +138,7 @@
 	defer cancel()
 	l := &leadership{
 		Dispatcher: d, ctx: ctx, term: t, events: make(chan func(time.Time), maxQueuedEvents), histories: newHistories(d.log),
-		limiter: limiter.NewLimiter(time.Now),
+		limiter: limiter.New(time.Now),
 	}
 	l.machine = dispatch.New(t.Number(), d.bounds, dispatch.WithLog(l.histories))
 	began := l.clock()
@@ -287,7 +287,7 @@
 	c := l.machine.Counts()
 	guaranteed, usable := l.machine.Guarantees()
 	for name, n := range map[string]int{
-		"jobs": c.Jobs, "targets": c.Targets, "targets_held": c.Reachable, "runs": c.Runs, "steps_waiting": c.OpenSteps,
+		"jobs": c.Jobs, "targets": c.Targets, "targets_held": c.Reachable, "runs": c.Runs, "steps_waiting": c.PendingSteps,
 		"zones_evacuated": c.Evacuated, "accelerators_usable": usable, "accelerators_guaranteed": guaranteed,
 	} {
 		l.metrics.Gauge(name).Update(float64(n))
@@ -296,7 +296,7 @@
 	load := l.limiter.Stats()
 	if now := l.clock(); load.Waiting > 0 && now.Sub(l.waitingLoggedAt) >= time.Second {
 		l.waitingLoggedAt = now
-		l.log.Info("orders waiting", "waiting", load.Waiting, "oldestMS", load.LongestWait.Milliseconds(), "limit", load.Limit, "perSecond", int(load.Rate), "delayMS", load.Delay.Milliseconds(), "stepsWaiting", c.OpenSteps)
+		l.log.Info("orders waiting", "waiting", load.Waiting, "oldestMS", load.LongestWait.Milliseconds(), "limit", load.Limit, "perSecond", int(load.Rate), "delayMS", load.Delay.Milliseconds(), "stepsWaiting", c.PendingSteps)
 	}
 	l.metrics.Gauge("orders_limit").Update(float64(load.Limit))
 	l.metrics.Gauge("orders_waiting").Update(float64(load.Waiting))
@@ -383,9 +383,9 @@
 			case <-time.After(max(next.Sub(l.clock()), 0)):
 			}
 			next = l.clock().Add(d)
-			cut, err := store.RunUntilRecovered(l.ctx, l.recovered(), f)
+			interrupted, err := store.RunUntilRecovered(l.ctx, l.recovered(), f)
 			switch {
-			case cut:
+			case interrupted:
 				next = l.clock()
 			case err != nil:
 				next = l.clock().Add(storeRetryDelay)
@@ -430,7 +430,7 @@
 }
 
 // nextListTimeout returns the timeout of the next read of the list after one that took
-// so long. It is shorter than storeTimeout in general: a lost answer must not hold up
+// the given time. It is shorter than storeTimeout in general: a lost answer must not hold up
 // placement that long.
 func nextListTimeout(took time.Duration) time.Duration {
 	return min(max(minListTimeout, listTimeoutFactor*took), storeTimeout)
--- a/internal/host/leader/election_test.go
+++ b/internal/host/leader/election_test.go
@@ -17,7 +17,7 @@
 	"guavaglade.example/guavaglade/internal/standin/rows"
 )
 
-const transactionTime = 5 * time.Millisecond
+const storeLatency = 5 * time.Millisecond
 
 var errGone = errors.New("does not answer")
 
@@ -146,7 +146,7 @@
 func TestOneHostLeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := rows.New(transactionTime)
+		table := rows.New(storeLatency)
 		var hosts []*host
 		for i := range 5 {
 			hosts = append(hosts, startHost(table, string(rune('a'+i)), uint64(i)))
@@ -169,13 +169,13 @@
 	})
 }
 
-// The leader is cut off from the store and does not know whether others reach it. Its row
+// The leader is disconnected from the store and does not know whether others reach it. Its row
 // does not change for Lease, and another host takes it over. The old leader may send orders
 // for no longer than Grace.
 func TestUnchangedRowIsTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := rows.New(transactionTime)
+		table := rows.New(storeLatency)
 		a, b := startHost(table, "a", 1), (*host)(nil)
 		time.Sleep(time.Second)
 		is.True(a.leads())
@@ -201,7 +201,7 @@
 // terms before and after. It fails if no single host leads afterwards, or if two hosts led
 // in the same term.
 func runEightHosts(t *testing.T, seed uint64, disturb func(hosts []*host)) (before, after int64) {
-	table := rows.New(transactionTime)
+	table := rows.New(storeLatency)
 	peers := &network{hosts: map[string]*host{}}
 	var hosts []*host
 	for i, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
@@ -280,7 +280,7 @@
 }
 
 // The store refuses the leader and some other hosts. The leader transfers the leadership,
-// and the hosts that cannot read the row learn from it which host leads.
+// and the hosts that cannot read the row ask it which host leads.
 func TestHostsRefusedByStoreFollowNextLeader(t *testing.T) {
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
@@ -307,7 +307,7 @@
 	}
 }
 
-// The leader is cut off from the store, another host takes the row over, and the connection
+// The leader is disconnected from the store, another host takes the row over, and the connection
 // is restored while the first one reads back its last write. It finds the new row and must
 // not overwrite it, using the version just read: the next host to take over would get a term
 // that is already in use, and two leaders would start the same tasks with one fencing token.
@@ -359,7 +359,7 @@
 func TestSlowCandidateCheckDoesNotDelayRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := rows.New(transactionTime)
+		table := rows.New(storeLatency)
 		a := startHostWithPeers(slowPeers{}, table, "a", 1)
 		time.Sleep(time.Second)
 		b := startHostWithPeers(slowPeers{}, table, "b", 2)
@@ -376,7 +376,7 @@
 func TestLostAnswerIsReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := rows.New(transactionTime)
+		table := rows.New(storeLatency)
 		a := startHost(table, "a", 1)
 		a.link.SetFaults(rows.Faults{LostAnswers: 1})
 		time.Sleep(3 * time.Second)
@@ -390,7 +390,7 @@
 func TestMalformedRowIsTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := rows.New(transactionTime)
+		table := rows.New(storeLatency)
 		table.Put(leader.RowKey, []byte("{nonsense"))
 		a := startHost(table, "a", 1)
 		time.Sleep(3 * time.Second)
--- a/internal/host/rpc/relay.go
+++ b/internal/host/rpc/relay.go
@@ -95,9 +95,9 @@
 // CanServe reports whether clients should be sent to this host. That holds if a request can
 // be stored by this host or by a peer that was reached recently. It also holds if the store
 // is unavailable to all hosts: no host could do better than to refuse quickly. A zone that
-// is cut off together with its leader must not be taken for that case, since other zones can
-// serve its clients. Such a cut shows by the silence of the store and of all hosts outside
-// the zone, before the store counts as lost.
+// is disconnected together with its leader must not be taken for that case, since other zones can
+// serve its clients. That is detected when neither the store nor any host outside
+// the zone answers, before the store counts as down.
 func (e *Endpoint) CanServe() bool {
 	if e.storeUp() && time.Since(e.storeAnsweredAt()) < reachableFor {
 		return true
@@ -110,7 +110,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Since(e.leaderHeardAt) >= reachableFor {
+	if time.Since(e.leaderReportedAt) >= reachableFor {
 		return false
 	}
 	return len(e.peers) > 0 || e.reach.StoreUp || e.reach.Zones >= e.maxZones
--- a/internal/host/scheduler/scheduler.go
+++ b/internal/host/scheduler/scheduler.go
@@ -125,7 +125,7 @@
 	s.endpoint = rpc.New(
 		id.PeerAddress, s.dispatcher, s.keeper, s.store.Up, rpc.WithCores(id.Cores), rpc.WithZone(id.Zone), rpc.WithLog(log),
 		rpc.WithStoreAnswered(s.store.LastAnswer),
-		rpc.WithAdopted(s.logAdopted), rpc.WithOutcomes(func() burn.Snapshot { return s.burn.Snapshot(time.Now()) }),
+		rpc.WithAdopted(s.logAdopted), rpc.WithBurnSnapshot(func() burn.Snapshot { return s.burn.Snapshot(time.Now()) }),
 	)
 	s.peerTransport = peer.New(s.endpoint.Handle, set.peerTLS, nil, log)
 	s.election = leader.New(s.store, s.endpoint, s.dispatcher.Lead, holder, id.PeerAddress, log, leader.WithCores(id.Cores))
--- a/internal/proof/deployment/fallback_test.go
+++ b/internal/proof/deployment/fallback_test.go
@@ -46,7 +46,7 @@
 				is.True(time.Since(began) < 500*time.Millisecond)
 				time.Sleep(time.Second)
 				caller := entry.Caller{Account: j.Account}
-				status, err := h.entry.State(ctx, j.ID, caller)
+				status, err := h.entry.Status(ctx, j.ID, caller)
 				is.NoErr(err)
 				is.Equal(status.State, progress.Running)
 				is.NoErr(h.entry.Cancel(ctx, j.ID, caller))
--- a/internal/work/dispatch/accept.go
+++ b/internal/work/dispatch/accept.go
@@ -18,7 +18,7 @@
 	if m.jobs[spec.ID] != nil {
 		return
 	}
-	j := newJob(spec, PartOf(spec.ID, m.bounds.Parts), now)
+	j := newJob(spec, PartitionOf(spec.ID, m.bounds.Partitions), now)
 	m.jobs[spec.ID] = j
 	m.updateSmallestTask(spec)
 	m.log.Decided("job", "job", spec.ID, "queue", spec.Queue, "account", spec.Account, "priority", spec.Priority, "steps", len(spec.Steps), "tasks", spec.Tasks(), "objectiveMS", j.objective.Milliseconds(), "accepted", spec.AcceptedAt)
@@ -33,7 +33,7 @@
 	if m.jobs[spec.ID] != nil {
 		return
 	}
-	j := newJob(spec, PartOf(spec.ID, m.bounds.Parts), now)
+	j := newJob(spec, PartitionOf(spec.ID, m.bounds.Partitions), now)
 	j.version, j.cancelled = version, cancelled
 	m.updateSmallestTask(spec)
 	m.jobs[spec.ID] = j
@@ -166,13 +166,13 @@
 	m.enqueueStep(s, now)
 }
 
-// enqueueStep adds a step that may have tasks to start to the open steps.
+// enqueueStep adds a step that may have tasks to start to the pending steps.
 func (m *Machine) enqueueStep(s *step, _ time.Time) {
 	if s.blockedBy > 0 || s.done || s.job.finished() || s.queued {
 		return
 	}
 	s.queued = true
-	m.openSteps = append(m.openSteps, s)
+	m.pendingSteps = append(m.pendingSteps, s)
 	m.newSteps = append(m.newSteps, s)
 	m.placementDue = true
 }
--- a/internal/work/dispatch/attempts.go
+++ b/internal/work/dispatch/attempts.go
@@ -74,11 +74,11 @@
 // Rules for where a task may spend its next attempt.
 const (
 	// excludeTime is how long a task is kept from a target on which it failed, unless a
-	// run that began there since has gone well. Faults of targets pass within some
+	// run that began there since has succeeded. Faults of targets pass within some
 	// seconds, and a task that no other target can take must run eventually.
 	excludeTime = 15 * time.Second
 	// provenTime is how long a target counts as healthy after the start of a run that
-	// went well. It is shorter than faults of targets last, and about as long as a run
+	// succeeded. It is shorter than faults of targets last, and about as long as a run
 	// takes, so that a busy target stays proven.
 	provenTime = 4 * time.Second
 	// lastAttemptWait is how long after an early failure a last attempt waits for a target
--- a/internal/work/dispatch/load_test.go
+++ b/internal/work/dispatch/load_test.go
@@ -13,7 +13,7 @@
 	*simulation
 	rnd         *rand.Rand
 	rate        float64 // jobs per second, of all kinds
-	widthFactor float64 // width of steps relative to today's
+	widthFactor float64 // width of steps relative to the current load
 }
 
 // gangAccelerators are the numbers of accelerators that members of gangs need.
@@ -88,7 +88,7 @@
 				s.runWithLoad(time.Second)
 			}
 			b.ReportMetric(float64(s.m.Counts().Runs), "runs")
-			b.ReportMetric(float64(s.m.Counts().OpenSteps), "waiting")
+			b.ReportMetric(float64(s.m.Counts().PendingSteps), "waiting")
 			b.ReportMetric(s.shareInTime(0, 3, s.now.Add(-10*time.Second)), "urgentInTime")
 		})
 	}
--- a/internal/work/dispatch/query.go
+++ b/internal/work/dispatch/query.go
@@ -16,11 +16,11 @@
 	if j == nil {
 		return "", false
 	}
-	return j.status(), true
+	return j.visibleState(), true
 }
 
-// status returns the state that clients may see.
-func (j *job) status() progress.State {
+// visibleState returns the state that clients may see.
+func (j *job) visibleState() progress.State {
 	if !j.published.Final() && j.started {
 		return progress.Running
 	}
@@ -33,7 +33,7 @@
 	if j == nil {
 		return view.JobStatus{}, false
 	}
-	return view.JobStatus{State: j.status(), Queue: j.spec.Queue, Account: j.spec.Account}, true
+	return view.JobStatus{State: j.visibleState(), Queue: j.spec.Queue, Account: j.spec.Account}, true
 }
 
 // Pending returns the number of a queue's accepted jobs that have not started.
@@ -73,7 +73,7 @@
 
 func (j *job) view() view.Job {
 	v := view.Job{
-		ID: j.spec.ID, Queue: j.spec.Queue, Account: j.spec.Account, Priority: j.spec.Priority, State: j.status(),
+		ID: j.spec.ID, Queue: j.spec.Queue, Account: j.spec.Account, Priority: j.spec.Priority, State: j.visibleState(),
 		Accepted: time.UnixMilli(j.spec.AcceptedAt).UTC(), Runs: len(j.liveRuns),
 	}
 	if j.endedAt != 0 {
@@ -89,7 +89,7 @@
 // Fleet returns the machine's targets, zones and accounts.
 func (m *Machine) Fleet(now time.Time) view.Fleet {
 	f := view.Fleet{
-		Term: m.term, PendingSteps: len(m.openSteps), Zones: m.zones(), Targets: []view.Target{}, Accounts: []view.Account{},
+		Term: m.term, PendingSteps: len(m.pendingSteps), Zones: m.zones(), Targets: []view.Target{}, Accounts: []view.Account{},
 		Guaranteed: m.totalGuaranteed(), Usable: m.usableAccelerators(),
 	}
 	for _, t := range m.sortedTargets {
@@ -158,12 +158,12 @@
 
 // Counts are the sizes of a machine's collections.
 type Counts struct {
-	Jobs, Targets, Reachable, Runs, OpenSteps, Evacuated int
+	Jobs, Targets, Reachable, Runs, PendingSteps, Evacuated int
 }
 
 // Counts returns the current sizes of the machine's collections.
 func (m *Machine) Counts() Counts {
-	c := Counts{Jobs: len(m.jobs), Targets: len(m.targets), OpenSteps: len(m.openSteps), Evacuated: len(m.evacuated.Zones)}
+	c := Counts{Jobs: len(m.jobs), Targets: len(m.targets), PendingSteps: len(m.pendingSteps), Evacuated: len(m.evacuated.Zones)}
 	for _, t := range m.sortedTargets {
 		if t.reach == reachable {
 			c.Reachable++
