--- a/internal/work/dispatch/job.go
+++ b/internal/work/dispatch/job.go
@@ -39,7 +39,7 @@
 	blockedBy        int     // number of steps it depends on that are not done
 	dependents       []*step // steps that depend on this one
 	tasks            []*task
-	tasksLeft        int
+	tasksLeft        int // tasks that are not done
 	done             bool
 	dueAt            int64     // when its occurrence is due, in milliseconds since 1970; 0: no due time
 	highestGangRun   int       // highest run number of its tasks; used for gangs only
--- a/internal/work/dispatch/run.go
+++ b/internal/work/dispatch/run.go
@@ -24,7 +24,7 @@
 	order.Run
 	task            *task
 	target          *target
-	charge          graph.Resources
+	charge          graph.Resources // what it takes of the target's capacity
 	phase           phase
 	placedAt        time.Time
 	recordRev       int64     // revision of the job's progress that records it
