--- a/internal/work/dispatch/ends.go
+++ b/internal/work/dispatch/ends.go
@@ -173,6 +173,8 @@
 	m.completeIfDone(s.job, now)
 }
 
+// markTaskDone marks a task as done, unless it is already, and stops its other runs. The
+// runs of a gang are not stopped.
 func (m *Machine) markTaskDone(x *task, now time.Time) {
 	if x.done {
 		return
--- a/internal/work/dispatch/poll.go
+++ b/internal/work/dispatch/poll.go
@@ -278,8 +278,9 @@
 	}
 }
 
-// advanceAcked advances the number up to which ends may be acknowledged: to the last
-// before the first end whose progress is not saved.
+// advanceAcked moves acked to the last end before the first whose progress is not saved,
+// and drops the ends up to it from unsavedEnds. If acked moves, the acknowledgement is due
+// maxAckDelay from now.
 func (t *target) advanceAcked(now time.Time) {
 	n := 0
 	for n < len(t.unsavedEnds) && t.unsavedEnds[n].saved() {
--- a/internal/work/dispatch/warmup_test.go
+++ b/internal/work/dispatch/warmup_test.go
@@ -36,7 +36,8 @@
 	is.Equal(d.p.Starts(), 16)
 }
 
-// Warm targets have capacity, so cold ones get nothing.
+// The targets of one rack have just restarted and are cold. Those of the other rack are
+// warm and have capacity for the whole job, so nothing starts on the cold ones.
 func TestWarmTargetsArePreferred(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 2, 2, DefaultBounds())
