--- a/internal/host/leader/takeover.go
+++ b/internal/host/leader/takeover.go
@@ -9,7 +9,9 @@
 	"guavaglade.example/guavaglade/internal/platform/store"
 )
 
-// takeOver tries to take the row over, and leads if that succeeds.
+// takeOver waits for larger hosts to take over the leadership. If none does, it tries to
+// acquire the leader row and leads until the term ends. If the row cannot be acquired, it
+// sleeps before it returns.
 func (e *Election) takeOver(ctx context.Context) {
 	if !e.deferToLargerHosts(ctx) {
 		return
