--- a/internal/host/rpc/views.go
+++ b/internal/host/rpc/views.go
@@ -64,8 +64,9 @@
 	return list
 }
 
-// Burn asks all hosts that the leader knows for their counts of ended jobs, and merges them.
-// A host that does not answer is logged and left out.
+// Burn asks all hosts that the leader knows for their counts of ended jobs, from which burn
+// rates are computed, and merges them. Hosts that do not answer and counts that cannot be
+// merged are logged and left out.
 func (e *Endpoint) Burn(ctx context.Context) (burn.Snapshot, error) {
 	hosts, err := e.InForce(ctx)
 	if err != nil {
