--- a/internal/fleet/evacuation/register.go
+++ b/internal/fleet/evacuation/register.go
@@ -31,7 +31,8 @@
 // Equal reports whether both have the same zones evacuated.
 func (s Status) Equal(o Status) bool { return slices.Equal(s.Zones, o.Zones) }
 
-// Register holds the current status. It is safe for concurrent use.
+// Register holds the current status. It is safe for use by one writer and any number of
+// concurrent readers.
 type Register struct {
 	mu      sync.RWMutex
 	current Status // its zones are replaced, never modified
@@ -47,7 +48,7 @@
 	return r.current
 }
 
-// Replace sets all evacuated zones as of a time and reports whether they changed.
+// Replace sets all evacuated zones, as read at asOf, and reports whether they changed.
 func (r *Register) Replace(zones []string, asOf time.Time) (changed bool) {
 	next := Status{AsOf: asOf}.With(zones...)
 	r.mu.Lock()
@@ -63,8 +64,9 @@
 	Evacuated bool
 }
 
-// Apply applies the changes up to a time, in order, and reports whether the evacuated
-// zones changed.
+// Apply applies all changes in order and reports whether the evacuated zones changed. The
+// status then includes all changes before asOf. Apply must not run concurrently with
+// another Apply or Replace, whose changes could be lost.
 func (r *Register) Apply(changes []Change, asOf time.Time) (changed bool) {
 	zones := slices.Clone(r.Current().Zones)
 	for _, c := range changes {
