--- a/internal/standin/pool/orders.go
+++ b/internal/standin/pool/orders.go
@@ -109,7 +109,8 @@
 	return clock, nil
 }
 
-// Poll executes a poll without waiting for an end.
+// Poll executes a poll: it renews the target's lease, removes the acknowledged ends, and
+// returns the runs and the ends that are left. It does not wait for an end.
 func (p *Pool) Poll(to order.Address, poll order.Poll, now time.Time) (order.Report, error) {
 	p.Advance(now)
 	t, err := p.resolve(to)
