--- a/internal/host/settings/field.go
+++ b/internal/host/settings/field.go
@@ -82,6 +82,8 @@
 	return reloadable(f, func(s, from *Settings) { s.operatorKeyHash = from.operatorKeyHash })
 }
 
+// intField returns the field of a limit from minValue to maxValue. value returns where the
+// settings hold it.
 func intField(key, unit string, minValue, maxValue int, value func(*Settings) *int) field {
 	read := func(d *document.Section, key string, s *Settings) {
 		*value(s) = d.Int(key, *value(s), minValue, maxValue)
@@ -89,6 +91,7 @@
 	return field{section: "limits", key: key, unit: unit, read: read, format: func(s *Settings) string { return strconv.Itoa(*value(s)) }}
 }
 
+// durationField returns the field of a limit, like intField.
 func durationField(key, unit string, minValue, maxValue time.Duration, value func(*Settings) *time.Duration) field {
 	read := func(d *document.Section, key string, s *Settings) {
 		*value(s) = d.Duration(key, *value(s), minValue, maxValue)
--- a/internal/host/settings/print.go
+++ b/internal/host/settings/print.go
@@ -26,6 +26,8 @@
 	return nil
 }
 
+// printField writes the line of a key: its value, unit, default and where it was set. The
+// line is a comment if the key is not set or its value is secret, which is not shown.
 func (s Settings) printField(b *strings.Builder, f field, defaultValue string) {
 	value := f.format(&s)
 	switch {
