--- a/internal/proof/session/caller_test.go
+++ b/internal/proof/session/caller_test.go
@@ -17,8 +17,9 @@
 
 func jobPath(id string) string { return "/v1/jobs/" + string(request.JobID(norte, id)) }
 
-// TestCaller records a caller's session: accepted, repeated and conflicting requests,
-// cancelled jobs, jobs of other accounts and a job that cannot run.
+// TestCaller records the requests and answers of a caller's session and compares them with
+// a golden file: accepted, repeated and conflicting requests, cancelled jobs, jobs of other
+// accounts and a job that cannot run.
 func TestCaller(t *testing.T) {
 	t.Parallel()
 	s := newSession(t)
