--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -261,9 +261,9 @@
 	242: "of two changes with the same base, the refused one was retried repeatedly with its stale base",
 }
 
-// Faults of all kinds occur one after the other and together. Accepted jobs end as they
-// must, nothing runs twice, jobs answered as not run do not run, and in the end the newest
-// configuration is in force on every host.
+// For each seed, 4 to 9 random faults of all kinds occur one after the other or together.
+// Accepted jobs end as they must, nothing runs twice, jobs answered as not run do not run,
+// and in the end the newest configuration is in force on every host.
 func TestFaults(t *testing.T) {
 	list := slices.Sorted(maps.Keys(regressionSeeds))
 	for i := range *seeds {
