--- a/internal/host/rpc/views.go
+++ b/internal/host/rpc/views.go
@@ -45,8 +45,8 @@
 	return f, err
 }
 
-// InForce asks the leader for the configuration in force on it and on each host that watches
-// it.
+// InForce asks the leader for the configuration in force on it and on each host that
+// watches it.
 func (e *Endpoint) InForce(ctx context.Context) ([]view.InForce, error) {
 	return callLeader(ctx, e, methodInForce, nil, func() ([]view.InForce, error) { return e.localInForce(), nil })
 }
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -25,12 +25,12 @@
 	recurring          []*job  // jobs that recur, in the order of their arrival
 	pendingSteps       []*step // steps with tasks to start, by rank as of the last pass, new ones last
 	partitions         []partition
-	commands           []Command
-	placementEnabled   bool // set by EnablePlacement
+	commands           []Command // issued since the last Decide
+	placementEnabled   bool      // set by EnablePlacement
 	placementEnabledAt time.Time
 	listAsOf           time.Time // when the current list of targets was read
 	pollCandidates     []*target // targets that may be due for a poll
-	newSteps           []*step   // steps opened since the last pass
+	newSteps           []*step   // steps enqueued since the last pass
 	nextPassAt         time.Time // earliest start of the next pass
 	pass               pass
 	backlog            backlog
@@ -47,7 +47,7 @@
 	guaranteesExceeded bool                       // the guarantees exceed the usable accelerators
 	evacuated          evacuation.Status          // zones evacuated by operators
 	placementDue       bool                       // something may have become placeable since the last pass
-	deposed            bool                       // a newer term has begun
+	superseded         bool                       // a newer term has begun
 }
 
 // Log receives one line for each decision, with alternating keys and values. Its
@@ -89,12 +89,13 @@
 // Term returns the machine's term.
 func (m *Machine) Term() int64 { return m.term }
 
-// Deposed reports whether a newer term has begun, as a target or the store has shown.
+// Superseded reports whether a newer term has begun, as a target or the store has shown.
 // Decide returns no commands from then on, and the caller ends the term.
-func (m *Machine) Deposed() bool { return m.deposed }
+func (m *Machine) Superseded() bool { return m.superseded }
 
-// Depose ends the machine's term. The caller uses it when the store shows a newer term.
-func (m *Machine) Depose() { m.deposed = true }
+// MarkSuperseded ends the machine's term. The caller uses it when the store shows a newer
+// term.
+func (m *Machine) MarkSuperseded() { m.superseded = true }
 
 // SetGuarantees sets how many accelerators each client account is guaranteed for its
 // jobs of priority 0. It is called for each new version of the configuration.
@@ -170,6 +171,7 @@
 	return m.bounds.MaxListAge == 0 || now.Sub(m.listAsOf) <= m.bounds.MaxListAge
 }
 
+// updateTarget applies the entry of a target in the list.
 func (m *Machine) updateTarget(l roster.Target, now time.Time) {
 	t := m.targets[l.ID]
 	if t == nil {
@@ -192,6 +194,7 @@
 	m.considerPoll(t)
 }
 
+// addTarget adds a target that has no runs yet.
 func (m *Machine) addTarget(l roster.Target) *target {
 	t := &target{Target: l, runs: map[order.Run]*run{}}
 	m.targets[l.ID] = t
