--- a/internal/work/dispatch/advice_test.go
+++ b/internal/work/dispatch/advice_test.go
@@ -13,8 +13,8 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// newAdviceFixture returns a machine with four targets and a job whose queue requires
-// advice.
+// newAdviceFixture returns a machine with four targets that have reported, and an accepted
+// job of the given number of tasks whose queue requires advice.
 func newAdviceFixture(t *testing.T, tasks int) (*fixture, graph.JobID) {
 	t.Helper()
 	s := &fixture{Machine: New(7, DefaultBounds()), now: time.Unix(1000, 0)}
@@ -34,7 +34,8 @@
 	return s, j.ID
 }
 
-// commands returns the commands of one kind, and answers saves as done.
+// commands has the machine decide twice, confirms the saves and returns the commands of one
+// kind. It drops all others.
 func commands[C Command](s *fixture) (list []C) {
 	for range 2 {
 		s.now = s.now.Add(time.Millisecond) // there is a pause between passes
@@ -82,7 +83,8 @@
 	is.Equal(again[0].Targets, []string{"t2"})
 }
 
-// The service refuses or does not answer: it is asked again after a pause.
+// The call of the advice service fails: the service is asked again after a pause, and not
+// before.
 func TestAdviceIsRequestedAgainAfterFailure(t *testing.T) {
 	is := is.New(t)
 	s, _ := newAdviceFixture(t, 1)
--- a/internal/work/dispatch/backlog_test.go
+++ b/internal/work/dispatch/backlog_test.go
@@ -13,7 +13,8 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// makeJob returns a job of one step, accepted now.
+// makeJob returns a job of one step whose tasks take 5 s. The stand-in targets know it; the
+// machine does not until the test passes it to Accept.
 func (d *simulation) makeJob(n, priority int, step graph.Step) *graph.Job {
 	step.Estimate = 5 * time.Second
 	j := &graph.Job{
@@ -24,7 +25,8 @@
 	return j
 }
 
-// savedStarts has the machine decide, saves what it asks for, and returns the starts.
+// savedStarts has the machine decide, confirms the saves, and returns the starts without
+// executing or answering them. It drops all other commands.
 func savedStarts(d *simulation) (starts []Start) {
 	for _, c := range d.m.Decide(d.now) {
 		switch c := c.(type) {
@@ -39,7 +41,7 @@
 	return starts
 }
 
-// startAll has the machine decide, and answers all its starts.
+// startAll has the machine decide, and answers all its starts as accepted.
 func (d *simulation) startAll() {
 	d.m.nextPassAt = time.Time{} // no pause since the last pass
 	for _, c := range savedStarts(d) {
--- a/internal/work/dispatch/evacuation_test.go
+++ b/internal/work/dispatch/evacuation_test.go
@@ -14,13 +14,13 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// evacuate tells the machine that exactly these zones are evacuated.
+// evacuate tells the machine that exactly these zones are evacuated, and has it decide.
 func (d *simulation) evacuate(zones ...string) {
 	d.m.SetEvacuated(evacuation.Status{AsOf: d.now}.With(zones...), d.now)
 	d.decide()
 }
 
-// startsIn returns how many runs were started in a zone.
+// startsIn returns how many runs were started on the live targets of a zone.
 func (d *simulation) startsIn(zone string) (n int) {
 	for _, t := range d.p.Roster() {
 		if t.Zone == zone {
@@ -30,7 +30,7 @@
 	return n
 }
 
-// countLogged returns how many log lines contain a text.
+// countLogged returns how many logged decisions contain a text.
 func (d *simulation) countLogged(text string) (n int) {
 	for _, l := range d.log {
 		if strings.Contains(l, text) {
@@ -163,8 +163,8 @@
 	d.check()
 }
 
-// A target registers in an evacuated zone, and a new leader learns of the evacuation
-// before it has listed any target: nothing starts there in either case.
+// A machine first lists a zone's targets after it has learnt that the zone is evacuated, as
+// when a target registers there or the leader is new: those targets accept no starts.
 func TestNewTargetsInEvacuatedZoneGetNoWork(t *testing.T) {
 	is := is.New(t)
 	m := New(1, DefaultBounds())
--- a/internal/work/dispatch/fit_test.go
+++ b/internal/work/dispatch/fit_test.go
@@ -57,7 +57,7 @@
 	d.check()
 }
 
-// A gang that wants one rack but is larger than any rack runs on two, though slower.
+// A gang that wants one rack but is larger than any rack runs on two, though slower, and ends.
 func TestGangLargerThanARack(t *testing.T) {
 	d := newSimulation(t, 2, 2, DefaultBounds())
 	d.submit(1, 2*time.Second, largeGang(4, 8))
@@ -82,8 +82,8 @@
 	d.check()
 }
 
-// A target never has more tasks of a step than its limit per target, also while tasks are
-// restarted.
+// A target never has more tasks of a step than the step's limit per target. The stand-in
+// targets check this at each start.
 func TestPerTargetLimit(t *testing.T) {
 	d := newSimulation(t, 1, 4, DefaultBounds())
 	s := small(8)
@@ -93,6 +93,7 @@
 	d.check()
 }
 
+// The scarcest resource decides how many tasks fit; none fits if a resource is overcommitted.
 func TestTasksThatFit(t *testing.T) {
 	is := is.New(t)
 	free := graph.Resources{CPU: 64000, MemoryMB: 262144, Accelerators: 8}
--- a/internal/work/dispatch/gang_end_test.go
+++ b/internal/work/dispatch/gang_end_test.go
@@ -11,7 +11,7 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// targetOf returns the target of a command, or "".
+// targetOf returns the target of a start, stop or poll, and "" for other commands.
 func targetOf(c Command) string {
 	switch c := c.(type) {
 	case Start:
--- a/internal/work/dispatch/gang_test.go
+++ b/internal/work/dispatch/gang_test.go
@@ -10,7 +10,8 @@
 )
 
 // A pass skips a gang if one that needs no more did not fit in the same pass. The skipped
-// gang would not have fitted either, whatever runs and whatever else was placed.
+// gang would not have fitted either, whatever runs and whatever else was placed. The fleet,
+// its work and the gangs are random by seed.
 func TestUnplaceableGangRulesOutLargerGangs(t *testing.T) {
 	seeded.Check(t, func(rt *rapid.T) {
 		d := newSimulation(t, rapid.IntRange(1, 3).Draw(rt, "racks"), 8, DefaultBounds())
@@ -39,7 +40,8 @@
 }
 
 // An urgent gang is pending, and nothing may be preempted for it yet. The leader searches
-// for work to preempt a few times a second, not at each decision.
+// for work to preempt a few times a second, not at each decision, and keeps targets reserved
+// for the gang between two searches.
 func TestPreemptionSearchIsRateLimited(t *testing.T) {
 	d := newSimulation(t, 100, 8, DefaultBounds())
 	for n := range 100 {
--- a/internal/work/dispatch/health_test.go
+++ b/internal/work/dispatch/health_test.go
@@ -115,8 +115,8 @@
 	d.check()
 }
 
-// A job fails at once wherever it runs. It is itself at fault then, and must not get one
-// target quarantined after the other.
+// A job fails at once wherever it runs, so it is itself at fault. It must not get more than
+// maxFailedTargets targets quarantined.
 func TestFailingJobDoesNotQuarantineAllTargets(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 2, 6, DefaultBounds())
@@ -161,7 +161,7 @@
 }
 
 // A task has failed once and has one attempt left. It waits a while for a target on which
-// a run that began since then goes well. Then it goes to a target on which a run went well a
+// a run that began since then succeeds. Then it goes to a target on which a run succeeded a
 // moment ago, though a target without evidence fits it better.
 func TestLastAttemptPrefersProvenTarget(t *testing.T) {
 	is := is.New(t)
--- a/internal/work/dispatch/listing_test.go
+++ b/internal/work/dispatch/listing_test.go
@@ -73,9 +73,9 @@
 	d.check()
 }
 
-// The leader loses power just after it has sent a start. If the start was not saved by
-// then, the next leader, if it cannot reach the target, would not know of the run and
-// would start the task a second time.
+// The store takes a second to save a start, which is not sent before. If it were, and the
+// leader then lost power, a next leader that cannot reach the target would not know of the
+// run and would start the task a second time.
 func TestStartIsSentAfterItIsSaved(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 2, DefaultBounds())
--- a/internal/work/dispatch/load_test.go
+++ b/internal/work/dispatch/load_test.go
@@ -50,8 +50,9 @@
 	}
 }
 
-// shareInTime returns the share of the jobs of a priority submitted before a time that have
-// ended within a multiple of their estimate.
+// shareInTime returns the share of the jobs of a priority submitted by a time that have ended
+// within a multiple of their estimate, 1 if there are none. Jobs that the machine has
+// forgotten are left out.
 func (s *workload) shareInTime(priority int, within float64, before time.Time) float64 {
 	n, good := 0, 0
 	for id, submittedAt := range s.submittedAt {
--- a/internal/work/dispatch/pacing_test.go
+++ b/internal/work/dispatch/pacing_test.go
@@ -11,6 +11,8 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
+// A best-effort run's share is halved as the tail latency nears its limit, 0 above the limit,
+// and grows in small steps while the latency is low.
 func TestNextShare(t *testing.T) {
 	is := is.New(t)
 	is.Equal(nextShare(100, 1.2), 0)  // over the limit: halted
@@ -34,6 +36,7 @@
 	s.Restore(a, nil, 0, false, s.now)
 	s.Restore(b, nil, 0, false, s.now)
 	s.EnablePlacement(s.now, s.now)
+	// tail reports a tail latency a second later, and returns the orders to pace.
 	tail := func(ms int) []Pace {
 		s.now = s.now.Add(time.Second)
 		s.report(order.Report{Running: []order.Running{
--- a/internal/work/dispatch/preemption_test.go
+++ b/internal/work/dispatch/preemption_test.go
@@ -39,7 +39,7 @@
 	d.check()
 }
 
-// The same urgent job, but its account is guaranteed accelerators: it begins within
+// As above, but the urgent job's account is guaranteed accelerators: the job begins within
 // ReclaimTime, whatever the gang loses.
 func TestGuaranteedWorkPreemptsAtAnyCost(t *testing.T) {
 	is := is.New(t)
--- a/internal/work/dispatch/reachability_test.go
+++ b/internal/work/dispatch/reachability_test.go
@@ -11,7 +11,8 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// disconnectZone drops all commands to a zone's targets from now on.
+// disconnectZone drops all starts, stops and polls of a zone's targets from now on, and no
+// others.
 func (d *simulation) disconnectZone(zone string) {
 	disconnected := map[string]bool{}
 	for _, t := range d.m.sortedTargets {
@@ -52,10 +53,10 @@
 }
 
 // A zone becomes unreachable with connection resets: the polls that wait at its busy
-// targets fail at once. They were sent before the zone's last answer. If they did not
-// count as missed for that reason, they would also keep later misses of these targets
-// from counting: for five seconds idle targets of the zone would get urgent gangs, and
-// each would wait until the zone is reachable again.
+// targets fail at once. They must count as missed though they were sent before the zone's
+// last answer. Otherwise they would also keep later misses of these targets from counting:
+// for five seconds idle targets of the zone would get urgent gangs, and each would wait
+// until the zone is reachable again.
 func TestBrokenPollsRevealUnreachableZone(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 3, 8, DefaultBounds())
@@ -203,8 +204,8 @@
 }
 
 // A new leader's first polls are under way to all targets of a zone when the first answer
-// comes. Polling them a second time, each over a new connection, would keep a leader of
-// thousands of targets busy just when it has to catch up.
+// comes, which must not have the others polled again. A second poll of each, over a new
+// connection, would keep a leader of thousands of targets busy just when it has to catch up.
 func TestNewLeaderPollsEachTargetOnce(t *testing.T) {
 	is := is.New(t)
 	m, now := New(2, DefaultBounds()), time.Unix(1000, 0)
--- a/internal/work/dispatch/restore_test.go
+++ b/internal/work/dispatch/restore_test.go
@@ -12,17 +12,19 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// testJob returns a job of single tasks.
+// testJob returns a job of one step of single tasks, which have two attempts each.
 func testJob(id graph.JobID, tasks int) *graph.Job {
 	return &graph.Job{ID: id, Queue: "q", Service: "s", MaxAttempts: 2, Steps: []graph.Step{small(tasks)}, AcceptedAt: 1000000}
 }
 
-// fixture is a machine with one target whose events the test supplies.
+// fixture is a machine whose events the test supplies, with the time that it gets with them.
 type fixture struct {
 	*Machine
 	now time.Time
 }
 
+// newFixture returns a machine with one target, t1, that has not reported. Placement is not
+// enabled.
 func newFixture() *fixture {
 	s := &fixture{Machine: New(7, DefaultBounds()), now: time.Unix(1000, 0)}
 	s.UpdateTargets([]roster.Target{{
@@ -31,13 +33,14 @@
 	return s
 }
 
-// report passes the machine a report of the target.
+// report passes the machine a report of target t1, with its clock set to the current time.
 func (s *fixture) report(rep order.Report) {
 	rep.Clock = s.now.UnixMilli()
 	s.Polled("t1", Poll{Sent: s.now}, rep, s.now)
 }
 
-// saves returns the rows that the machine saves, and confirms the saves.
+// saves has the machine decide, confirms its saves and returns their rows. It drops all other
+// commands.
 func (s *fixture) saves() []SaveRow {
 	var rows []SaveRow
 	s.now = s.now.Add(time.Millisecond) // there is a pause between passes
--- a/internal/work/dispatch/simulation_test.go
+++ b/internal/work/dispatch/simulation_test.go
@@ -26,12 +26,12 @@
 	m                 *Machine
 	p                 *pool.Pool
 	now               time.Time
-	events            []event
-	version           int64
-	dropCommand       func(c Command) bool // selects commands that are lost without an answer; nil: none
-	dropAnswer        func(c Command) bool // selects orders that are executed but whose answer is lost; nil: none
-	log               []string
-	decisionScheduled bool // events has one for the next decision
+	events            []event              // by time
+	version           int64                // of the last save
+	dropCommand       func(c Command) bool // selects starts, stops and polls that are lost without an answer; nil: none
+	dropAnswer        func(c Command) bool // selects starts that are executed but whose answer is lost; nil: none
+	log               []string             // decisions that the machine logged
+	decisionScheduled bool                 // events has one for the next decision
 	// slowSaveTime is the duration of a save if it is longer than saveTime.
 	slowSaveTime time.Duration
 	endedAt      map[graph.JobID]time.Time // when jobs were published as ended
@@ -46,7 +46,8 @@
 }
 
 // newSimulation returns a simulation of a machine in term 1 with racks of targets that have
-// eight accelerators each. The machine has their first reports.
+// eight accelerators each, the racks in zones z0 to z2 in turn. The machine may place work
+// and has the targets' first reports.
 func newSimulation(t testing.TB, racks, perRack int, b Bounds) *simulation {
 	d := &simulation{
 		t: t, p: pool.New(pool.DefaultBounds()), now: time.Unix(1000, 0),
@@ -69,7 +70,7 @@
 	return d
 }
 
-// listTargets passes the current list of targets to the machine.
+// listTargets passes the current list of targets to the machine, and has it decide.
 func (d *simulation) listTargets() {
 	d.m.UpdateTargets(d.p.Roster(), d.now, d.now)
 	d.decide()
@@ -100,7 +101,8 @@
 	d.events = slices.Insert(d.events, at, e)
 }
 
-// run runs the simulation for some time.
+// run runs the simulation for some time. The machine ticks each 100 ms, and decides after
+// each event and tick.
 func (d *simulation) run(span time.Duration) {
 	until := d.now.Add(span)
 	for d.now.Before(until) {
@@ -123,6 +125,8 @@
 	}
 }
 
+// decide has the machine decide and executes its commands. It schedules the next decision
+// if the machine asks for one, and notes which jobs have ended.
 func (d *simulation) decide() {
 	for _, c := range d.m.Decide(d.now) {
 		d.execute(c)
@@ -140,6 +144,8 @@
 	}
 }
 
+// execute executes a start, stop, poll or save, whose outcome reaches the machine after the
+// simulated delays. It ignores other commands.
 func (d *simulation) execute(c Command) {
 	lost := d.dropCommand != nil && d.dropCommand(c)
 	answerLost := d.dropAnswer != nil && d.dropAnswer(c)
@@ -183,7 +189,7 @@
 	})
 }
 
-// answerPoll answers a poll once there is an end to list or its wait is over.
+// answerPoll answers a poll once there is an end to list, it fails or its wait is over.
 func (d *simulation) answerPoll(c Poll, until time.Time) {
 	rep, err := d.p.Poll(c.Target, c.Order, d.now)
 	if err == nil && len(rep.Ended) == 0 && d.now.Before(until) {
@@ -199,7 +205,8 @@
 	})
 }
 
-// submit submits a job whose tasks each take the given work.
+// submit submits a job whose tasks each take the given work and have three attempts, and has
+// the machine decide. Jobs of priority 0 have less slack than others.
 func (d *simulation) submit(priority int, work time.Duration, steps ...graph.Step) graph.JobID {
 	d.nextID++
 	j := &graph.Job{
@@ -226,8 +233,9 @@
 	return at.Sub(d.submittedAt[id])
 }
 
-// check fails the test for each breach that the stand-in targets saw, and for each job that
-// has not ended.
+// check fails the test for each breach that the stand-in targets saw, and for each submitted
+// job that has not ended; a job that failed has ended. It prints the newest decisions if the
+// test has failed.
 func (d *simulation) check() {
 	d.t.Helper()
 	for _, b := range d.p.Breaches() {
@@ -245,6 +253,7 @@
 	}
 }
 
+// state returns the state of a job as the machine has it, empty for an unknown job.
 func (d *simulation) state(id graph.JobID) progress.State {
 	s, _ := d.m.State(id)
 	return s
--- a/internal/work/dispatch/straggler_test.go
+++ b/internal/work/dispatch/straggler_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// targetOfJob returns the target on which a job runs.
+// targetOfJob returns the first target on which a job has a run, empty if it has none.
 func (d *simulation) targetOfJob(id string) string {
 	for _, x := range d.m.sortedTargets {
 		for r := range x.runs {
@@ -71,8 +71,8 @@
 	d.check()
 }
 
-// Two jobs lose a run each on a target that fails every run: from then on it gets none.
-// Each job fails there once, and does not end as failed.
+// Jobs of one task come to a target that fails every run. Once some have lost a run there,
+// it gets none any more, and all jobs end.
 func TestFailingTargetIsAvoided(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 1, 3, DefaultBounds())
--- a/internal/work/dispatch/warmup_test.go
+++ b/internal/work/dispatch/warmup_test.go
@@ -7,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// restartRack restarts the targets of a rack, which are cold for a while.
+// restartRack tells the machine that the targets of a rack are cold for a while, as after a
+// restart.
 func (d *simulation) restartRack(rack string, cold time.Duration) {
 	list := d.p.Roster()
 	for i := range list {
