--- a/internal/proof/deployment/chaos_test.go
+++ b/internal/proof/deployment/chaos_test.go
@@ -17,14 +17,15 @@
 
 // request is a job that a client submits.
 type request struct {
-	At       time.Duration
+	At       time.Duration // since the start of the run
 	Priority int
 	Steps    []graph.Step
-	Work     time.Duration
-	Fails    int // of 100 runs
-	Cancel   time.Duration
+	Work     time.Duration // of each task
+	Fails    int           // of 100 runs
+	Cancel   time.Duration // since the submission; 0: not cancelled
 }
 
+// drawStep draws a step, which depends on the first step unless it is that.
 func drawStep(t *rapid.T, first bool) graph.Step {
 	s := graph.Step{
 		Count:    rapid.IntRange(1, 12).Draw(t, "count"),
@@ -46,6 +47,7 @@
 	return s
 }
 
+// drawRequest draws a request for a job of one or two steps, which may be cancelled.
 func drawRequest(t *rapid.T) request {
 	q := request{
 		At:       time.Duration(rapid.IntRange(1000, 20000).Draw(t, "at")) * time.Millisecond,
@@ -80,8 +82,8 @@
 }
 
 // Faults of all kinds are injected, also several at once, while clients submit jobs of
-// all kinds. No guarantee is violated, and once all faults are over every accepted job
-// ends.
+// all kinds; both are random by seed. No guarantee is violated, and once all faults are over
+// every accepted job ends.
 func TestChaos(t *testing.T) {
 	seeded.Check(t, func(rt *rapid.T) {
 		s := drawScript(rt)
@@ -92,7 +94,8 @@
 	})
 }
 
-// Runs the scripts that have found defects. testdata/chaos/README.md says which.
+// Runs the scripts of faults and jobs that have found defects, and checks them as TestChaos
+// does. testdata/chaos/README.md says which defects.
 func TestChaosRegressions(t *testing.T) {
 	files, err := filepath.Glob("testdata/chaos/*.json")
 	if err != nil || len(files) == 0 {
@@ -115,7 +118,8 @@
 	}
 }
 
-// run executes a script and returns the violations and the newest log lines.
+// run executes a script on four hosts and three racks for 33 s of virtual time, ends all
+// faults, waits for the jobs to end and returns the violations and the newest log lines.
 func (s script) run(t *testing.T) (violations []string, log string) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t, s.Seed, 4, 3)
@@ -148,7 +152,9 @@
 	return violations, log
 }
 
-// submitRequest submits the job of a request, and cancels it after q.Cancel if that is set.
+// submitRequest submits the job of a request. If q.Cancel is set, it sends an event that
+// cancels the job after that time if it has been accepted. Which runs fail depends on the
+// ids of their tasks and their numbers alone.
 func (d *deployment) submitRequest(q request, events chan func()) {
 	j := d.newJob(q.Priority, q.Steps...)
 	b := succeedsAfter(q.Work)
@@ -167,6 +173,7 @@
 	}
 }
 
+// hash returns a pseudo-random number that depends on its arguments alone.
 func hash(text string, n int) uint32 {
 	h := uint32(2166136261) + uint32(n)*97
 	for _, c := range []byte(text) {
--- a/internal/proof/deployment/deployment_test.go
+++ b/internal/proof/deployment/deployment_test.go
@@ -39,17 +39,17 @@
 	ctx          context.Context
 	cancelCtx    context.CancelFunc
 	rnd          *rand.Rand
-	table        *rows.Table
+	table        *rows.Table // the store
 	pool         *pool.Shared
 	network      *network
 	hosts        []*host
 	submissions  []*submission
-	logs         []string
+	logs         []string // of all hosts
 	logMu        sync.Mutex
 	startedAt    time.Time
-	lastID       int
-	incarnations int // of targets, added after the start
-	clients      sync.WaitGroup
+	lastID       int            // of a job
+	incarnations int            // of targets, added after the start
+	clients      sync.WaitGroup // submissions and cancellations under way
 }
 
 // host is one process of the system.
@@ -64,16 +64,16 @@
 	peerTransport *peer.Transport
 	cancelCtx     context.CancelFunc
 	done          chan struct{} // closed when its election has ended
-	down          bool
+	down          bool          // killed or stopped
 }
 
 // submission is a job as its client sees it.
 type submission struct {
 	job       *graph.Job
 	mu        sync.Mutex
-	accepted  bool
-	cancelled bool
-	state     progress.State
+	accepted  bool           // its submission was acknowledged
+	cancelled bool           // a cancellation was acknowledged
+	state     progress.State // of the last answer to awaitEnds
 }
 
 func (s *submission) update(f func()) {
@@ -89,7 +89,8 @@
 }
 
 // newDeployment starts a deployment with the given numbers of hosts and of racks, each
-// of four targets.
+// of four targets and a zone of its own. The seed decides the speed of the targets' clocks,
+// the random numbers of hosts and which calls and orders meet faults.
 func newDeployment(t testing.TB, seed uint64, hosts, racks int) *deployment {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &deployment{
@@ -109,6 +110,7 @@
 	return d
 }
 
+// target returns the roster entry of an incarnation of a rack's i-th target.
 func (d *deployment) target(rack, i, incarnation int) roster.Target {
 	name := fmt.Sprintf("r%d-%d", rack, i)
 	return roster.Target{
@@ -118,6 +120,8 @@
 	}
 }
 
+// start starts a process of a host, with its own links to the store and the targets. The
+// caller adds it to d.hosts.
 func (d *deployment) start(name string, incarnation int) *host {
 	ctx, cancel := context.WithCancel(d.ctx)
 	h := &host{deployment: d, name: name, address: name, cancelCtx: cancel, done: make(chan struct{})}
@@ -151,6 +155,7 @@
 	return rnd.Int64N
 }
 
+// logger returns a logger that adds its lines to d.logs, with the virtual time and the name.
 func (d *deployment) logger(name string) logr.Logger {
 	return funcr.New(func(_, line string) {
 		d.logMu.Lock()
@@ -160,7 +165,7 @@
 }
 
 // kill stops a host abruptly: it is disconnected first, so that nothing it sends while
-// it stops gets out.
+// it stops gets out. It waits until the host has ended.
 func (d *deployment) kill(h *host) {
 	h.down = true
 	h.storeLink.SetFaults(rows.Faults{Refuse: true})
@@ -170,14 +175,15 @@
 	<-h.done
 }
 
-// stop performs a planned stop of a host.
+// stop performs a planned stop of a host, and waits until it has ended.
 func (d *deployment) stop(h *host) {
 	h.down = true
 	h.cancelCtx()
 	<-h.done
 }
 
-// restart starts a new process in place of one that is down.
+// restart starts a new process in place of one that is down. Its links to the store and the
+// targets have no faults; disconnections from other hosts stay.
 func (d *deployment) restart(h *host) *host {
 	n := d.start(h.name, 2+d.rnd.IntN(1000))
 	d.hosts[slices.Index(d.hosts, h)] = n
@@ -194,7 +200,7 @@
 	return all
 }
 
-// leader returns the host that is the leader, or nil.
+// leader returns the first host that is up and considers itself the leader, or nil.
 func (d *deployment) leader() *host {
 	for _, h := range d.hosts {
 		if !h.down && h.election.OwnTerm() != nil {
@@ -220,7 +226,7 @@
 	return d.newJob(priority, step)
 }
 
-// newJob returns a job with the given steps.
+// newJob returns a job with the given steps, a new id and three attempts per task.
 func (d *deployment) newJob(priority int, steps ...graph.Step) *graph.Job {
 	d.lastID++
 	return &graph.Job{
@@ -234,8 +240,8 @@
 	return pool.Behaviour{Work: func(graph.TaskID) time.Duration { return d }}
 }
 
-// submit has a client submit a job with the same id to random hosts until it is
-// accepted, at most five times.
+// submit adds a job to the pool and has a client submit it, in the background, to random
+// hosts until it is accepted, at most five times.
 func (d *deployment) submit(j *graph.Job, b pool.Behaviour) *submission {
 	s := &submission{job: j}
 	d.submissions = append(d.submissions, s)
@@ -258,7 +264,8 @@
 	return s
 }
 
-// cancel has a client cancel a job until that is acknowledged, at most five times.
+// cancel has a client cancel a job at a random host, in the background, until that is
+// acknowledged, at most five times. The pool learns of an acknowledged cancellation.
 func (d *deployment) cancel(s *submission) {
 	h := d.anyHost()
 	d.clients.Add(1)
@@ -286,9 +293,9 @@
 	return status.State, err
 }
 
-// awaitEnds waits until every accepted job has a final state. After the limit it
-// records a violation for each that has none. Each breach that the pool found is
-// recorded, too.
+// awaitEnds waits until all clients have finished and every accepted job has a final state.
+// After the limit it records a violation for each that has none. Each breach that the pool
+// found is recorded, too.
 func (d *deployment) awaitEnds(limit time.Duration) {
 	d.clients.Wait()
 	until := time.Now().Add(limit)
@@ -315,12 +322,14 @@
 	})
 }
 
+// recordViolation records a violation, for which the test fails at its end.
 func (d *deployment) recordViolation(format string, args ...any) {
 	d.violations = append(d.violations, fmt.Sprintf(format, args...))
 }
 
-// unfinishedReason returns the state or error that shows that an accepted job has not
-// ended, empty otherwise.
+// unfinishedReason asks for the state of an accepted job and returns the state or error that
+// shows that it has not ended, empty otherwise. It records a violation if the job is not
+// known, has completed with tasks left, or was cancelled without an acknowledged request.
 func (d *deployment) unfinishedReason(s *submission) string {
 	accepted, cancelled, state := s.get()
 	if !accepted || state.Final() {
@@ -362,7 +371,7 @@
 
 const maxPrintedLines = 400
 
-// recentLogs returns the newest log lines of all hosts.
+// recentLogs returns the newest maxPrintedLines log lines of all hosts.
 func (d *deployment) recentLogs() string {
 	d.logMu.Lock()
 	defer d.logMu.Unlock()
@@ -373,8 +382,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// simulate runs a test in virtual time, stops everything that it started and fails the
-// test for each violation.
+// simulate runs a test in virtual time on a new deployment, stops everything that it started
+// and fails the test for each violation. A failed test prints the newest log lines.
 func simulate(t *testing.T, seed uint64, hosts, racks int, f func(d *deployment)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -392,7 +401,7 @@
 	})
 }
 
-// close stops everything that the deployment started.
+// close stops everything that the deployment started. Its last wait takes virtual time only.
 func (d *deployment) close() {
 	for _, h := range d.hosts {
 		if !h.down {
--- a/internal/proof/deployment/fallback_test.go
+++ b/internal/proof/deployment/fallback_test.go
@@ -14,7 +14,7 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
-// setFollowerStoreFaults sets the faults of the store link of a host that is not the
+// setFollowerStoreFaults sets the faults of the store link of the first host that is not the
 // leader, and returns the host.
 func (d *deployment) setFollowerStoreFaults(f rows.Faults) *host {
 	lead := d.leader()
@@ -27,8 +27,9 @@
 	return nil
 }
 
-// The store refuses one host, or does not answer it. A peer stores what clients submit
-// and cancel there, and the clients are answered before their deadlines.
+// The store refuses one host that is not the leader, or does not answer it. A peer stores
+// what clients submit and cancel there. The clients are answered before their deadlines, a
+// submission within 500 ms, and 2 s after the cancellation nothing of the job runs.
 func TestStoreUnavailableToOneHost(t *testing.T) {
 	for name, faults := range map[string]rows.Faults{"refused": {Refuse: true}, "silent": {Unresponsive: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -58,8 +59,8 @@
 	}
 }
 
-// The store is unavailable to all hosts. Each host refuses a request at once, without
-// asking its peers, which cannot store it either.
+// The store answers no host. Each host refuses a request within 100 ms, without asking its
+// peers, which cannot store it either.
 func TestStoreUnavailableToAllHosts(t *testing.T) {
 	simulate(t, 32, 4, 1, func(d *deployment) {
 		is := is.New(d.t)
--- a/internal/proof/deployment/faults_test.go
+++ b/internal/proof/deployment/faults_test.go
@@ -16,7 +16,7 @@
 	Kind  string
 	At    time.Duration
 	For   time.Duration
-	Which int     // index of the host or target; length of a delay
+	Which int     // index of the host, zone or target, taken modulo their number; length of a delay
 	Share float64 // of targets, orders, answers or jobs that are affected
 }
 
@@ -53,7 +53,8 @@
 	return id
 }
 
-// inject starts a fault.
+// inject starts a fault, which heal ends. Two kinds have no duration: "forget" compacts the
+// store's feed of changes, and "cancel" cancels a share of the accepted jobs.
 func (d *deployment) inject(f fault) {
 	d.logger("test").Info("fault injected", "kind", f.Kind, "for", f.For.String(), "which", f.Which, "share", f.Share)
 	switch f.Kind {
@@ -88,6 +89,7 @@
 	}
 }
 
+// endHost kills or stops a host unless it is down.
 func (d *deployment) endHost(h *host, kill bool) {
 	switch {
 	case h.down:
@@ -98,6 +100,7 @@
 	}
 }
 
+// injectLinkFault starts a fault of hosts' links to the store or to targets, or of a zone.
 func (d *deployment) injectLinkFault(f fault) {
 	switch f.Kind {
 	case "cut store":
@@ -135,7 +138,8 @@
 	return sample
 }
 
-// disconnectZone disconnects one host and one rack from everything else.
+// disconnectZone disconnects one host and one rack from everything else, the host also from
+// the store. The two still reach each other.
 func (d *deployment) disconnectZone(which int) {
 	disconnected, zone := d.host(which), fmt.Sprintf("zone%d", which%3)
 	inside, outside := map[string]bool{}, map[string]bool{}
@@ -157,6 +161,8 @@
 	}
 }
 
+// injectTargetFault starts a fault of one target of the roster, or adds a new incarnation at
+// an address. It does nothing if the roster is empty.
 func (d *deployment) injectTargetFault(f fault) {
 	id := d.targetID(f.Which)
 	if id == "" {
@@ -183,8 +189,9 @@
 	})
 }
 
-// heal ends a fault. It resets all hosts and links, and all targets if the fault is one
-// of a target, so overlapping faults of the same sort end together.
+// heal ends a fault. It restarts all hosts that are down and resets all links, and all
+// targets if the fault is one of a target, so overlapping faults of the same sort end
+// together.
 func (d *deployment) heal(f fault) {
 	d.logger("test").Info("fault healed", "kind", f.Kind)
 	d.healHosts()
@@ -195,6 +202,7 @@
 	}
 }
 
+// healHosts connects all hosts with each other and restarts those that are down.
 func (d *deployment) healHosts() {
 	for i, h := range d.hosts {
 		for _, o := range d.hosts[:i] {
@@ -233,6 +241,7 @@
 	})
 }
 
+// healAll ends the faults of all hosts, targets and links.
 func (d *deployment) healAll() {
 	d.healHosts()
 	d.healTargets()
--- a/internal/proof/deployment/network_test.go
+++ b/internal/proof/deployment/network_test.go
@@ -11,9 +11,9 @@
 // network is the network between the hosts, in memory.
 type network struct {
 	mu           sync.Mutex
-	listeners    map[string]*listener // by address
-	disconnected map[[2]string]bool
-	conns        map[[2]string][]net.Conn
+	listeners    map[string]*listener     // by address
+	disconnected map[[2]string]bool       // by linkKey
+	conns        map[[2]string][]net.Conn // by linkKey, both ends of each
 }
 
 func newNetwork() *network {
@@ -49,6 +49,7 @@
 func (address) Network() string  { return "memory" }
 func (a address) String() string { return string(a) }
 
+// listen opens a listener in place of an earlier one at the address.
 func (n *network) listen(at string) *listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -57,6 +58,7 @@
 	return l
 }
 
+// linkKey returns the key of the link between two hosts, the same for both directions.
 func linkKey(a, b string) [2]string {
 	if a > b {
 		a, b = b, a
@@ -64,7 +66,8 @@
 	return [2]string{a, b}
 }
 
-// dial returns the dial function of the host at an address.
+// dial returns the dial function of the host at an address. A dial to a disconnected host
+// waits until its context ends; one to a host that does not listen is refused.
 func (n *network) dial(from string) func(ctx context.Context, network, to string) (net.Conn, error) {
 	return func(ctx context.Context, _, to string) (net.Conn, error) {
 		n.mu.Lock()
--- a/internal/proof/deployment/store_test.go
+++ b/internal/proof/deployment/store_test.go
@@ -11,6 +11,7 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
+// setStoreFaults sets the faults of the links of all running hosts to the store.
 func (d *deployment) setStoreFaults(f rows.Faults) {
 	for _, h := range d.hosts {
 		if !h.down {
@@ -46,8 +47,8 @@
 }
 
 // The store commits writes and loses their answers, or commits them seconds later, or
-// answers slowly. Hosts read back each unknown outcome: no stored job is refused, and
-// no task is run twice or lost.
+// answers slowly. Hosts read back each unknown outcome: every accepted job ends, and no task
+// is run twice or lost.
 func TestStoreLosesAnswers(t *testing.T) {
 	for name, faults := range map[string]rows.Faults{
 		"lost": {LostAnswers: 0.4}, "late": {LateWrites: 0.3, LateBy: 3 * time.Second}, "slow": {Latency: 400 * time.Millisecond},
@@ -67,8 +68,8 @@
 	}
 }
 
-// The store compacts its change feed while the leader's peers cannot reach it: the
-// leader reads all jobs again.
+// Jobs are submitted while no peer can reach the leader, and the store compacts its feed of
+// changes soon after: the leader reads all jobs again, and all accepted jobs end.
 func TestHistoryCompacted(t *testing.T) {
 	simulate(t, 13, 3, 2, func(d *deployment) {
 		time.Sleep(2 * time.Second)
@@ -90,7 +91,7 @@
 }
 
 // Another writer puts malformed rows into the system's tables. The leader ignores them,
-// as does the next one, and all jobs end.
+// as does the next one after the leader is killed, and all accepted jobs end.
 func TestMalformedRows(t *testing.T) {
 	simulate(t, 14, 3, 1, func(d *deployment) {
 		time.Sleep(2 * time.Second)
--- a/internal/proof/deployment/takeover_test.go
+++ b/internal/proof/deployment/takeover_test.go
@@ -11,7 +11,7 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// submitMix submits jobs that fill two racks: gangs, checkpointing tasks and many small
+// submitMix submits four jobs that fill two racks: gangs, checkpointing tasks and many small
 // tasks.
 func submitMix(d *deployment) {
 	d.submit(d.singleStepJob(1, graph.Step{Count: 3, Needs: needs(8), Estimate: 4 * time.Second, Gang: true, SameRack: true}), succeedsAfter(4*time.Second))
@@ -23,13 +23,14 @@
 	d.submit(d.singleStepJob(0, graph.Step{Count: 2, Needs: needs(4), Estimate: time.Second, Gang: true}), succeedsAfter(time.Second))
 }
 
+// startCount returns how many runs the targets have started.
 func startCount(d *deployment) (n int) {
 	d.pool.Do(func(p *pool.Pool, _ time.Time) { n = p.Starts() })
 	return n
 }
 
-// awaitLeader waits until a host leads and returns how long that took. It records a
-// violation if none does within the limit.
+// awaitLeader waits until a host leads and returns how long that took. If none does within
+// the limit, it records a violation and returns the limit.
 func awaitLeader(d *deployment, limit time.Duration) time.Duration {
 	began := time.Now()
 	for d.leader() == nil {
@@ -43,8 +44,8 @@
 }
 
 // The leader's process is killed while tasks run. Its connections break, so a standby
-// reads the leader row, sees that it is not renewed and takes it over before any lease
-// on a target has lapsed: no run is lost, and none runs twice.
+// reads the leader row, sees that it is not renewed and takes it over within 2 s, before any
+// lease on a target has lapsed. No task runs twice, and all accepted jobs end.
 func TestLeaderKilled(t *testing.T) {
 	simulate(t, 3, 4, 2, func(d *deployment) {
 		is := is.New(d.t)
@@ -62,7 +63,7 @@
 }
 
 // The leader makes a planned stop. It releases the leader row, so another host leads
-// within 700 ms.
+// within 700 ms, and all accepted jobs end.
 func TestLeaderStopped(t *testing.T) {
 	simulate(t, 4, 4, 2, func(d *deployment) {
 		is := is.New(d.t)
@@ -167,8 +168,9 @@
 	})
 }
 
-// All hosts lose power right after jobs were accepted, and restart. They restore the
-// accepted jobs from the store and the running tasks from the targets, and all jobs end.
+// All hosts lose power right after jobs were submitted, and restart. One leads within 3 s.
+// They restore the accepted jobs from the store and the running tasks from the targets, and
+// all accepted jobs end.
 func TestAllHostsLosePower(t *testing.T) {
 	simulate(t, 8, 4, 2, func(d *deployment) {
 		is := is.New(d.t)
@@ -188,7 +190,8 @@
 	})
 }
 
-// The leader is killed or stopped every two seconds.
+// The leader is killed or stopped in turn every two seconds, and restarted at once, while jobs
+// are submitted. No task runs twice, and all accepted jobs end.
 func TestRepeatedLeaderLoss(t *testing.T) {
 	simulate(t, 9, 5, 2, func(d *deployment) {
 		time.Sleep(2 * time.Second)
--- a/internal/proof/deployment/target_test.go
+++ b/internal/proof/deployment/target_test.go
@@ -12,10 +12,12 @@
 	"guavaglade.example/guavaglade/internal/work/progress"
 )
 
+// storeKey returns the key of a row in partition 1 of a table.
 func storeKey(table, name string) store.Key {
 	return store.Key{Table: table, Partition: "1", Name: name}
 }
 
+// setTransportFaults sets the faults of the links of all running hosts to the targets.
 func (d *deployment) setTransportFaults(f pool.Faults) {
 	for _, h := range d.hosts {
 		if !h.down {
@@ -68,7 +70,7 @@
 }
 
 // Targets crash, and new incarnations start at their addresses. The new one refuses an
-// order for the old one, which proves that the old one's runs have ended.
+// order for the old one, which proves that the old one's runs have ended. All jobs complete.
 func TestTargetsRestarted(t *testing.T) {
 	simulate(t, 23, 3, 2, func(d *deployment) {
 		is := is.New(d.t)
