--- a/internal/proof/soak/caller_test.go
+++ b/internal/proof/soak/caller_test.go
@@ -33,7 +33,7 @@
 	mu          sync.Mutex
 	submissions []*submission
 	brokenConns []string // connections that broke under a request
-	ready       []*host
+	ready       []*host  // as of the last poll of trackReadiness
 }
 
 // taskInputs are the inputs of jobs by kind.
@@ -41,6 +41,7 @@
 	"label": `{"runMillis": 150}`, "plan": `{"runMillis": 400}`, "bill": `{"runMillis": 300}`, "forecast": `{"runMillis": 2500}`,
 }
 
+// jobKinds are the kinds that callers draw from; a repeated kind is drawn more often.
 var jobKinds = []string{"label", "label", "label", "plan", "bill", "forecast"}
 
 const (
@@ -49,7 +50,7 @@
 	pause      = 150 * time.Millisecond // between two tries, and between two requests
 )
 
-// trackReadiness polls which hosts are ready, as a load balancer does.
+// trackReadiness polls which hosts are ready, as a load balancer does, until the context ends.
 func (c *callers) trackReadiness(ctx context.Context) {
 	for ctx.Err() == nil {
 		var ready []*host
@@ -65,6 +66,7 @@
 	}
 }
 
+// pickReady returns a random host that was ready at the last poll, nil if none was.
 func (c *callers) pickReady(rnd *rand.Rand) *host {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,7 +76,8 @@
 	return c.ready[rnd.IntN(len(c.ready))]
 }
 
-// run submits one job after the other until the context ends.
+// run submits one job after the other until the context ends, and cancels about a tenth of
+// those accepted. The caller's number and the seed decide which.
 func (c *callers) run(ctx context.Context, number int, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, uint64(number)+1))
 	transport := &http.Transport{}
@@ -94,7 +97,8 @@
 	}
 }
 
-// submit sends a request until it is accepted, at most maxTries times.
+// submit sends a request to random ready hosts until it is accepted, at most maxTries times.
+// A time when no host is ready counts as a try.
 func (c *callers) submit(s *submission, r request.Request, rnd *rand.Rand, transport http.RoundTripper) {
 	for range maxTries {
 		h := c.pickReady(rnd)
@@ -133,7 +137,8 @@
 	}
 }
 
-// cancel cancels a job and records whether that was acknowledged.
+// cancel cancels a job at a random ready host, in one try, and records whether that was
+// acknowledged. It does nothing if no host is ready.
 func (c *callers) cancel(s *submission, rnd *rand.Rand, transport http.RoundTripper) {
 	h := c.pickReady(rnd)
 	if h == nil {
@@ -147,7 +152,8 @@
 	}
 }
 
-// awaitFinal waits until a job has ended and returns its state. It asks the hosts in turn.
+// awaitFinal waits until a job has ended and returns its state. It asks the hosts in turn, and
+// returns the last answer as an error if the job has not ended by the time given.
 func (c *callers) awaitFinal(s *submission, until time.Time) (progress.State, error) {
 	err := errors.New("not asked")
 	for i := 0; time.Now().Before(until); i++ {
--- a/internal/proof/soak/deployment_test.go
+++ b/internal/proof/soak/deployment_test.go
@@ -17,6 +17,8 @@
 
 var zones = []string{"leon", "celaya", "irapuato"}
 
+// configuration is the text of each change, with the hashes of the keys of norte and
+// automation and a number that makes each text differ.
 const configuration = `[service refill]
 [job refill.label]
 accelerators = 1
@@ -44,10 +46,10 @@
 	site       *standin.Site
 	hosts      []*host
 	mu         sync.Mutex
-	targets    []*proxy
+	targets    []*proxy // one before each target
 	violations []string
 	version    int64 // of the last accepted configuration
-	changes    int
+	changes    int   // of the configuration, begun
 }
 
 // loopbackIP returns a loopback address that concurrent runs do not use.
@@ -61,6 +63,8 @@
 	hostIP     = 10
 )
 
+// newDeployment opens the stand-in platform, with a proxy before each target, and starts
+// hostCount hosts, which keep their settings and logs in the directory.
 func newDeployment(ctx context.Context, t *testing.T, dir string) *deployment {
 	d := &deployment{t: t}
 	ip := loopbackIP(platformIP)
@@ -82,7 +86,8 @@
 	return d
 }
 
-// proxyFor returns the address of the proxy for a target, which it opens at the first call.
+// proxyFor returns the address of the proxy for a target, which it opens at the first call. If
+// that fails, it fails the test and returns the target's own address.
 func (d *deployment) proxyFor(ip, address string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,6 +105,7 @@
 	return p.address()
 }
 
+// recordViolation records a violation that check returns.
 func (d *deployment) recordViolation(format string, args ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,7 +114,7 @@
 
 // changeConfig applies the next configuration and retries until it is known to be
 // accepted. If another change was accepted first, it retries from that version, as an
-// operator does.
+// operator does. It records a violation if the change was not accepted by the time given.
 func (d *deployment) changeConfig(until time.Time) {
 	d.mu.Lock()
 	d.changes++
@@ -136,7 +142,8 @@
 	d.recordViolation("change %d of the configuration was not accepted", n)
 }
 
-// awaitConfig waits until the host has the newest accepted configuration.
+// awaitConfig waits until the host has the newest accepted configuration, and returns an error
+// if it has not after settleTimeout.
 func (d *deployment) awaitConfig(h *host) error {
 	err := errors.New("not asked")
 	for until := time.Now().Add(settleTimeout); time.Now().Before(until); time.Sleep(pause) {
@@ -151,7 +158,8 @@
 	return err
 }
 
-// shutDown performs a planned stop of the running hosts and closes everything else.
+// shutDown performs planned stops of all running hosts at once, and then closes everything
+// else.
 func (d *deployment) shutDown() {
 	var all sync.WaitGroup
 	for _, h := range d.hosts {
--- a/internal/proof/soak/host_test.go
+++ b/internal/proof/soak/host_test.go
@@ -42,13 +42,14 @@
 	settings     string // path
 	log          *os.File
 	mu           sync.Mutex
-	process      *exec.Cmd
+	process      *exec.Cmd     // nil if none runs
 	done         chan struct{} // closed when the process has exited
 	endRequested bool          // the process was signalled to exit
 	violations   []string
 }
 
-// newHost writes the settings of a host into the directory.
+// newHost writes the settings of a host into the directory, and opens its log there and its
+// proxy to the store. It does not start the host.
 func newHost(dir, ip, zone, storeAddress, keyHash string, number int) (*host, error) {
 	caller, peer := freePorts(ip)
 	platform, _, _ := net.SplitHostPort(storeAddress) // on the host's IP the proxy could take one of its ports
@@ -83,7 +84,8 @@
 	return listeners[0].Addr().String(), listeners[1].Addr().String()
 }
 
-// start starts the process unless it is running.
+// start starts the process unless it is running. It records a violation if the start fails,
+// and later if the process exits unasked or with an error status.
 func (h *host) start() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -116,7 +118,7 @@
 }
 
 // signal sends a signal to the process if it is running. It returns a channel that is
-// closed when the process has exited.
+// closed when the process has exited. After SIGKILL or SIGTERM an exit is no violation.
 func (h *host) signal(s syscall.Signal) chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -132,7 +134,8 @@
 	return h.done
 }
 
-// stop performs a planned stop and records a violation if that exceeds stopTimeout.
+// stop performs a planned stop and waits until the process has exited. If that exceeds
+// stopTimeout, it records a violation and kills the process.
 func (h *host) stop() {
 	done := h.signal(syscall.SIGTERM)
 	select {
--- a/internal/proof/soak/proxy_test.go
+++ b/internal/proof/soak/proxy_test.go
@@ -15,7 +15,7 @@
 const (
 	modePass mode = iota
 	modeDelay
-	modeReset
+	modeReset        // connections are reset, and new ones closed
 	modeHoldRequests // nothing reaches the server
 	modeHoldAnswers  // nothing reaches the client: requests are executed and not answered
 	modeHoldAll      // in both directions
@@ -30,14 +30,14 @@
 // chunkDelay is the delay of each chunk of data: fifty times a usual round trip.
 const chunkDelay = 50 * time.Millisecond
 
-// proxy forwards connections to an address.
+// proxy forwards connections to an address, as its mode says.
 type proxy struct {
 	listener net.Listener
 	to       string
 	mu       sync.Mutex
 	mode     mode
 	changed  *sync.Cond
-	conns    map[net.Conn]bool
+	conns    map[net.Conn]bool // open, of both sides
 	closed   bool
 }
 
@@ -55,7 +55,7 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// set changes the mode.
+// set changes the mode. modeReset also resets the connections that are open.
 func (p *proxy) set(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,7 +66,8 @@
 	p.changed.Broadcast()
 }
 
-// resetAll resets all connections and discards the data that they hold.
+// resetAll resets all connections and discards the data that they hold. The caller holds the
+// mutex.
 func (p *proxy) resetAll() {
 	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
@@ -77,6 +78,7 @@
 	clear(p.conns)
 }
 
+// close stops listening and resets all connections.
 func (p *proxy) close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
@@ -86,6 +88,7 @@
 	p.changed.Broadcast()
 }
 
+// accept accepts connections until the listener is closed.
 func (p *proxy) accept() {
 	for {
 		client, err := p.listener.Accept()
@@ -96,6 +99,8 @@
 	}
 }
 
+// connect opens a connection to the address and forwards data in both directions until one
+// end is closed. If it cannot connect, it closes the client's connection.
 func (p *proxy) connect(client net.Conn) {
 	if !p.track(client) {
 		return
@@ -109,7 +114,8 @@
 	p.forward(server, client, modeHoldAnswers)
 }
 
-// track records a connection. It closes and refuses it while connections are reset.
+// track records a connection. While connections are reset, or if the proxy is closed, it
+// closes the connection instead and returns false.
 func (p *proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +136,8 @@
 	}
 }
 
-// forward copies one direction of a connection. The mode held stops this direction.
+// forward copies one direction of a connection, and closes both sides at its end. The mode held
+// stops this direction.
 func (p *proxy) forward(from, to net.Conn, held mode) {
 	defer p.closeConns(from, to)
 	chunk := make([]byte, 32<<10)
--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -48,8 +48,8 @@
 type fault struct {
 	at, length time.Duration
 	kind       string
-	which      int
-	mode       mode
+	which      int  // index of the host or target, taken modulo their number
+	mode       mode // of the proxies, if the fault is one of connections
 }
 
 func (f fault) String() string {
@@ -58,6 +58,8 @@
 
 var faultKinds = []string{"kill", "kill", "pause", "stop", "store", "store", "all stores", "target", "target", "hang", "lose target", "change", "forget"}
 
+// drawFault draws a fault of one of the kinds, which starts within maxFaultStart. A kind that
+// is listed twice is drawn more often.
 func drawFault(rnd *rand.Rand, kinds []string) fault {
 	return fault{
 		at:     time.Duration(rnd.Int64N(int64(maxFaultStart))),
@@ -66,6 +68,8 @@
 	}
 }
 
+// inject starts a fault, waits for its length and ends it. A planned stop, a change of the
+// configuration and the compaction of the store's feed ("forget") end by themselves.
 func (d *deployment) inject(f fault) {
 	h := d.hosts[f.which%hostCount]
 	switch f.kind {
@@ -102,6 +106,7 @@
 	}
 }
 
+// injectProxyFault sets the mode of proxies for the length of the fault.
 func (d *deployment) injectProxyFault(f fault, ps ...*proxy) {
 	for _, p := range ps {
 		p.set(f.mode)
@@ -112,6 +117,8 @@
 	}
 }
 
+// injectTargetFault stalls a target for the length of the fault, or kills it for good unless
+// six targets or fewer are left.
 func (d *deployment) injectTargetFault(f fault) {
 	var id string
 	d.site.Shared.Do(func(p *pool.Pool, now time.Time) {
@@ -129,7 +136,8 @@
 	d.site.Shared.Do(func(p *pool.Pool, _ time.Time) { p.SetStalled(id, false) })
 }
 
-// run executes a script and returns the violations.
+// run executes a script of faults on a new deployment while callers submit jobs, waits for the
+// accepted jobs to end and returns the violations. It keeps the logs if there are any.
 func run(t *testing.T, seed uint64, script []fault, plannedOnly bool) []string {
 	dir, err := os.MkdirTemp(*logDir, fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
@@ -152,7 +160,8 @@
 	return violations
 }
 
-// traffic runs the callers and the script, and ends all faults.
+// traffic runs the callers for trafficTime and the whole script. Then it resumes paused hosts,
+// starts those that are down and ends the faults of all links to the store.
 func (c *callers) traffic(ctx context.Context, seed uint64, script []fault) {
 	d := c.deployment
 	requestCtx, stop := context.WithTimeout(ctx, trafficTime)
@@ -176,8 +185,8 @@
 	}
 }
 
-// check compares the answers that callers got with what became of their jobs. If hosts
-// make planned stops only, no connection may have broken.
+// check waits for the accepted jobs to end and compares the answers that callers got with
+// what became of their jobs. If hosts make planned stops only, no connection may have broken.
 func (c *callers) check(plannedOnly bool) (violations []string) {
 	until := time.Now().Add(settleTimeout)
 	for _, s := range c.submissions {
@@ -189,6 +198,7 @@
 	return violations
 }
 
+// summary returns counts of what the callers and targets saw, for the log of the test.
 func (c *callers) summary() string {
 	accepted, cancelled, starts := 0, 0, 0
 	for _, s := range c.submissions {
@@ -203,6 +213,9 @@
 	return fmt.Sprintf("%d requests, %d accepted, %d cancelled, %d connections broken, %d starts", len(c.submissions), accepted, cancelled, len(c.brokenConns), starts)
 }
 
+// checkSubmission returns a violation if a bill started twice, if a job answered as not run
+// has started, or if an accepted job has not ended or ended in a way that its kind and its
+// cancellation do not allow.
 func (c *callers) checkSubmission(s *submission, until time.Time) (violations []string) {
 	starts := 0
 	c.deployment.site.Shared.Do(func(p *pool.Pool, _ time.Time) { starts = p.StartsOf(s.id) })
@@ -225,7 +238,8 @@
 	return append(violations, fmt.Sprintf("%s (%s, cancelled %t) is %s", s.id, s.kind, s.cancelAcked, state))
 }
 
-// check returns the violations that targets and operators observed.
+// check waits until every host has the newest configuration and returns the violations that
+// targets, operators and the hosts' processes showed.
 func (d *deployment) check() []string {
 	d.site.Shared.Do(func(p *pool.Pool, _ time.Time) {
 		for _, b := range p.Breaches() {
@@ -243,6 +257,7 @@
 	return d.violations
 }
 
+// report fails the test if there are violations, and prints the seed and script with them.
 func report(t *testing.T, seed uint64, script []fault, violations []string) {
 	t.Helper()
 	if len(violations) == 0 {
@@ -282,7 +297,8 @@
 }
 
 // Hosts make planned stops, one after the other and together, while the configuration
-// changes. No connection breaks under a caller's request.
+// changes, at random times by the first seed. No connection breaks under a caller's request,
+// and all that TestFaults checks holds.
 func TestPlannedStops(t *testing.T) {
 	seed := *firstSeed
 	rnd := rand.New(rand.NewPCG(seed, 1))
