--- a/internal/proof/session/caller_test.go
+++ b/internal/proof/session/caller_test.go
@@ -15,6 +15,7 @@
 	return fmt.Sprintf(`{"requestId": %q, "service": "refill", "job": %q, "input": %q}`, id, kind, input)
 }
 
+// jobPath returns the path of the job that norte requested under an id.
 func jobPath(id string) string { return "/v1/jobs/" + string(request.JobID(norte, id)) }
 
 // TestCaller records the requests and answers of a caller's session and compares them with
@@ -64,7 +65,8 @@
 	s.compareGolden("caller")
 }
 
-// TestBadInput records the answers to invalid requests.
+// TestBadInput records the answers to invalid requests and compares them with a golden file:
+// bad bodies, paths, methods and waits, and what only operators may do. None adds a job.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	s := newSession(t)
--- a/internal/proof/session/operator_test.go
+++ b/internal/proof/session/operator_test.go
@@ -8,8 +8,8 @@
 	"guavaglade.example/guavaglade/internal/standin/rows"
 )
 
-// TestOperator records an operator's session, from a system without a configuration to
-// the report of the error budgets.
+// TestOperator records an operator's session and compares it with a golden file, from a
+// system without a configuration to the report of the error budgets.
 func TestOperator(t *testing.T) {
 	t.Parallel()
 	s := newSession(t)
@@ -64,7 +64,7 @@
 }
 
 // TestOperatorsRace records two operators that change the same version, a change that is
-// sent twice, and one whose answer is lost.
+// sent twice, and one whose answer is lost, and compares the answers with a golden file.
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
 	s := newSession(t)
--- a/internal/proof/session/session_test.go
+++ b/internal/proof/session/session_test.go
@@ -35,6 +35,7 @@
 	sur      = "sur"
 )
 
+// configuration is the text that sessions put in force; it has the hashes of the keys above.
 var configuration = fmt.Sprintf(`[service refill]
 objectiveTarget = 0.99
 objectiveWithin = 10s
@@ -77,11 +78,13 @@
 type session struct {
 	t            *testing.T
 	site         *site.Site
-	links        []*rows.Link // of each host to the store
-	script       bytes.Buffer
+	links        []*rows.Link      // of each host to the store
+	script       bytes.Buffer      // the record, which is compared with the golden file
 	placeholders *strings.Replacer // for addresses, which differ between runs
 }
 
+// newSession starts a site with an empty store, targets and no configuration, which is stopped
+// at the end of the test.
 func newSession(t *testing.T) *session {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -132,7 +135,7 @@
 	}
 }
 
-// setPlaceholders sets the placeholders for the addresses of the hosts.
+// setPlaceholders sets the placeholders PEERn and CALLERn for the addresses of the hosts.
 func (s *session) setPlaceholders() {
 	var pairs []string
 	for i, h := range s.site.Hosts() {
@@ -168,7 +171,7 @@
 	s.script.WriteString(text)
 }
 
-// heading writes a heading: what the user does and what is expected.
+// heading writes a heading into the script: what the user does and what is expected.
 func (s *session) heading(text string) { fmt.Fprintf(&s.script, "## %s\n\n", text) }
 
 // apiCall is one HTTP request of a session.
@@ -188,7 +191,8 @@
 	return body
 }
 
-// recordCall writes a request and its answer into the script.
+// recordCall writes a request and its answer into the script, with a long request body
+// truncated and JSON of the answer indented.
 func (s *session) recordCall(c apiCall, status int, header http.Header, body []byte) {
 	c.body = s.placeholders.Replace(c.body)
 	s.write(fmt.Sprintf("> %s %s as %s at CALLER%d\n", c.method, c.path, callerName(c.key), c.host))
@@ -202,6 +206,7 @@
 	s.write(indent("< ", pretty(body)) + "\n")
 }
 
+// send sends a request, unrecorded, and returns the answer. It fails the test if there is none.
 func (s *session) send(c apiCall) (int, http.Header, []byte) {
 	s.t.Helper()
 	req, err := http.NewRequest(c.method, "http://"+s.site.Hosts()[c.host].CallerAddress()+c.path, strings.NewReader(c.body))
@@ -224,7 +229,7 @@
 }
 
 // awaitAnswer repeats a request, unrecorded, until the body of its answer contains all
-// fragments.
+// fragments. It fails the test after waitTimeout.
 func (s *session) awaitAnswer(c apiCall, fragments ...string) {
 	s.t.Helper()
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -259,7 +264,8 @@
 	}
 }
 
-// awaitTargets waits until a host's view of the fleet has all targets ready.
+// awaitTargets waits until a host's view of the fleet has all targets ready. It fails the test
+// after waitTimeout.
 func (s *session) awaitTargets(host int) {
 	s.t.Helper()
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -273,13 +279,14 @@
 	}
 }
 
-// compareGolden compares the script with its golden file.
+// compareGolden fails the test if the script differs from its golden file.
 func (s *session) compareGolden(name string) {
 	s.t.Helper()
 	goldie.New(s.t, goldie.WithFixtureDir("testdata"), goldie.WithNameSuffix(".txt"), goldie.WithDiffEngine(goldie.ClassicDiff)).
 		Assert(s.t, name, s.script.Bytes())
 }
 
+// changeRequest returns the body of a request to replace the configuration of a base version.
 func changeRequest(base int64, id, text string) string {
 	b, err := json.Marshal(struct {
 		Base   int64  `json:"base"`
@@ -299,7 +306,7 @@
 	return key
 }
 
-// shorten truncates long bodies.
+// shorten truncates a long body and appends its size.
 func shorten(body string) string {
 	const limit = 200
 	if len(body) <= limit {
@@ -308,6 +315,7 @@
 	return fmt.Sprintf("%s... (%d bytes)", body[:limit], len(body))
 }
 
+// pretty returns a JSON body indented, and any other as it is.
 func pretty(body []byte) string {
 	var b bytes.Buffer
 	if json.Indent(&b, bytes.TrimSpace(body), "", "  ") == nil {
@@ -316,6 +324,7 @@
 	return string(body)
 }
 
+// indent puts a prefix before each line of a text.
 func indent(with, text string) string {
 	return with + strings.ReplaceAll(strings.TrimRight(text, "\n"), "\n", "\n"+with) + "\n"
 }
