--- a/internal/work/dispatch/health_test.go
+++ b/internal/work/dispatch/health_test.go
@@ -115,8 +115,8 @@
 	d.check()
 }
 
-// A job fails at once wherever it runs. It is itself at fault then, and must not get one
-// target quarantined after the other.
+// A job fails at once wherever it runs, so it is itself at fault. It must not get more than
+// maxFailedTargets targets quarantined.
 func TestFailingJobDoesNotQuarantineAllTargets(t *testing.T) {
 	is := is.New(t)
 	d := newSimulation(t, 2, 6, DefaultBounds())
