--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -55,7 +55,8 @@
 	RequestRate    float64
 }
 
-// Catalog is one version of the configuration.
+// Catalog is one version of the configuration. Draining, Evacuated and Objectives may be
+// called on a nil Catalog, which stands for no configuration.
 type Catalog struct {
 	version  int64
 	queues   []Queue // longest prefix first
@@ -87,7 +88,7 @@
 	return func(c *Catalog) { c.evacuated = append(c.evacuated, zones...) }
 }
 
-// New returns a catalog.
+// New returns a catalog. It copies the slices of queues and accounts.
 func New(version int64, queues []Queue, accounts []Account, services []Service, l Limits, opts ...Option) *Catalog {
 	c := &Catalog{
 		version: version, queues: slices.Clone(queues), accounts: slices.Clone(accounts), limits: l,
@@ -157,7 +158,8 @@
 	return byName
 }
 
-// Find returns the queue of a request, and the rest of the path after its prefix.
+// Find returns the queue of a request, and the rest of the path after its prefix; ok is
+// false if no queue matches.
 func (c *Catalog) Find(virtualHost, path string) (q Queue, rest string, ok bool) {
 	for _, i := range c.byHost[strings.ToLower(virtualHost)] {
 		if rest, ok := strings.CutPrefix(path, c.queues[i].Prefix); ok {
@@ -167,7 +169,8 @@
 	return Queue{}, "", false
 }
 
-// Account returns the name of the account to which a key belongs.
+// Account returns the name of the account to which a key belongs, false if there is
+// none.
 func (c *Catalog) Account(key string) (string, bool) {
 	name, ok := c.byKey[key]
 	return name, ok
--- a/internal/config/catalog/catalog_test.go
+++ b/internal/config/catalog/catalog_test.go
@@ -10,6 +10,8 @@
 	"guavaglade.example/guavaglade/internal/config/catalog"
 )
 
+// sample returns a catalog with two queues on one virtual host, an account with two
+// keys, and two services, one of them with an objective.
 func sample(version int64) *catalog.Catalog {
 	return catalog.New(version,
 		[]catalog.Queue{{Name: "all", VirtualHost: "Jobs.Example", Prefix: "/"}, {Name: "plan", VirtualHost: "jobs.example", Prefix: "/plan/"}},
@@ -36,6 +38,7 @@
 	is.True(!ok)
 }
 
+// Each key of an account identifies it; an unknown key belongs to no account.
 func TestAccount(t *testing.T) {
 	is := is.New(t)
 	name, ok := sample(1).Account("k2")
@@ -45,6 +48,7 @@
 	is.True(!ok)
 }
 
+// Services without an objective are left out, and a nil catalog has no objectives.
 func TestObjectives(t *testing.T) {
 	is := is.New(t)
 	is.Equal(sample(1).Objectives(), map[string]catalog.Objective{"refill": {Target: 0.9, Within: time.Second}})
--- a/internal/config/catalog/keeper.go
+++ b/internal/config/catalog/keeper.go
@@ -35,7 +35,8 @@
 	return 0
 }
 
-// Stored returns the stored form of the configuration in force, nil for none.
+// Stored returns the stored form of the configuration in force, nil for none. The caller
+// must not change it.
 func (k *Keeper) Stored() []byte {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
