--- a/internal/config/document/document.go
+++ b/internal/config/document/document.go
@@ -12,7 +12,8 @@
 	faults   Faults
 }
 
-// Read parses a text. Invalid lines are recorded as faults and skipped.
+// Read parses a text. Invalid lines are recorded as faults and skipped. A text longer
+// than MaxTextBytes is not parsed: it has one fault and no sections.
 func Read(body []byte) *Document {
 	d := &Document{}
 	if len(body) > MaxTextBytes {
--- a/internal/config/document/scanner.go
+++ b/internal/config/document/scanner.go
@@ -34,6 +34,8 @@
 	skipping bool   // the current section is invalid or a duplicate; its keys are dropped
 }
 
+// scan scans a whole text, without its byte order mark. Faults are recorded in the
+// result.
 func scan(body string) *scanner {
 	s := &scanner{lineOf: map[keyPath]int{}}
 	for i, raw := range strings.Split(strings.TrimLeft(body, byteOrderMark), "\n") {
@@ -59,6 +61,8 @@
 	return s.scanEntry(n, text)
 }
 
+// checkLine returns why a line cannot be part of any text: it is too long, not UTF-8 or
+// contains a control character. It returns "" for other lines.
 func checkLine(text string) string {
 	if len(text) > MaxLineBytes {
 		return fmt.Sprintf("line has %d bytes; the limit is %d", len(text), MaxLineBytes)
@@ -74,6 +78,9 @@
 	return ""
 }
 
+// scanHeader begins a section and returns the reason if the header is faulty.
+// Well-formed keys after a faulty header are dropped without a fault, up to the next
+// header.
 func (s *scanner) scanHeader(n int, text string) string {
 	m := headerPattern.FindStringSubmatch(text)
 	if m == nil {
@@ -95,6 +102,8 @@
 	return ""
 }
 
+// scanEntry adds a line KEY = VALUE to the current section and returns the reason if it
+// is faulty.
 func (s *scanner) scanEntry(n int, text string) string {
 	key, value, ok := strings.Cut(text, "=")
 	if !ok {
--- a/internal/config/document/section.go
+++ b/internal/config/document/section.go
@@ -22,11 +22,14 @@
 	known  []string // keys requested so far, in order
 }
 
+// entry is a key with its value and line number.
 type entry struct {
 	key  *ini.Key
 	line int
 }
 
+// newSection returns a section that the INI library has read, with the line numbers of
+// the scan.
 func newSection(d *Document, scanned *scanner, source *ini.Section) *Section {
 	s := &Section{doc: d, name: source.Name(), line: scanned.lineOf[keyPath{section: source.Name()}], values: map[string]entry{}}
 	for _, k := range source.Keys() {
@@ -50,13 +53,15 @@
 	return s.line
 }
 
-// Has reports whether the section contains the key.
+// Has reports whether the section contains the key. Unlike reading the value, it does
+// not make the key known to CheckUnknownKeys.
 func (s *Section) Has(key string) bool {
 	_, ok := s.values[key]
 	return ok
 }
 
-// Fault adds a fault of a key, or of the section if key is empty.
+// Fault adds a fault of a key, or of the section if key is empty. Its line is that of
+// KeyLine.
 func (s *Section) Fault(key, reason string) {
 	f := Fault{Line: s.KeyLine(key), Section: s.name, Key: key, Reason: reason}
 	s.doc.faults = append(s.doc.faults, f)
@@ -74,8 +79,8 @@
 	}
 }
 
-// raw returns the value of a key; ok is false if it is missing or empty. An empty
-// value is a fault.
+// raw returns the value of a key and makes the key known to CheckUnknownKeys; ok is
+// false if it is missing or empty. An empty value is a fault.
 func (s *Section) raw(key string) (value string, ok bool) {
 	if !slices.Contains(s.known, key) {
 		s.known = append(s.known, key)
@@ -137,7 +142,8 @@
 	return parseInRange(s, key, defaultValue, minValue, maxValue, "duration such as 1500ms, 2s or 1h30m", time.ParseDuration)
 }
 
-// Bool returns a boolean.
+// Bool returns a boolean, written in one of the forms of the INI library, such as true,
+// yes, on or 1.
 func (s *Section) Bool(key string, defaultValue bool) bool {
 	v, ok := s.raw(key)
 	if !ok {
@@ -164,7 +170,8 @@
 	return v
 }
 
-// CheckUnknownKeys adds a fault for each key that was never requested.
+// CheckUnknownKeys adds a fault for each key whose value has not been read. It must be
+// called after all known keys were read.
 func (s *Section) CheckUnknownKeys() {
 	for key := range s.values {
 		if !slices.Contains(s.known, key) {
@@ -173,6 +180,8 @@
 	}
 }
 
+// parseInRange reads and parses a value. If the key is missing, or the value is invalid
+// or out of range, which are faults, it returns the default.
 func parseInRange[N cmp.Ordered](s *Section, key string, defaultValue, minValue, maxValue N, typeName string, parse func(string) (N, error)) N {
 	v, ok := s.raw(key)
 	if !ok {
