--- a/internal/config/text/account.go
+++ b/internal/config/text/account.go
@@ -20,6 +20,8 @@
 // keyHashBytes is the length of a SHA-256 hash.
 const keyHashBytes = 32
 
+// account reads a section [account NAME] and adds the account to the configuration
+// unless its name is invalid.
 func (r *reader) account(name string, section *document.Section) {
 	section.Require("keyHash")
 	a := Account{
@@ -40,6 +42,9 @@
 	r.accounts = append(r.accounts, section)
 }
 
+// guarantee reads a section [guarantee ACCOUNT.NAME] and adds the guarantee to each of
+// its zones unless its name or shape is invalid. The account and the zones are checked
+// once all sections are read.
 func (r *reader) guarantee(fullName string, section *document.Section) {
 	section.Require("zones")
 	zones := section.List("zones")
@@ -56,6 +61,8 @@
 	r.guarantees = append(r.guarantees, guaranteeSection{section, g, zones})
 }
 
+// target reads a section [target NAME], which says whether an operator drains the
+// target. The target need not exist.
 func (r *reader) target(name string, section *document.Section) {
 	draining := section.Bool("leaving", false)
 	if !targetName.MatchString(name) {
--- a/internal/config/text/config.go
+++ b/internal/config/text/config.go
@@ -78,7 +78,8 @@
 // Draining reports whether an operator drains the target.
 func (c *Config) Draining(target string) bool { return c != nil && c.draining[target] }
 
-// DrainingTargets returns the targets that an operator drains, sorted.
+// DrainingTargets returns the targets that an operator drains, sorted. c must not be
+// nil.
 func (c *Config) DrainingTargets() []string {
 	var ids []string
 	for _, id := range sortedKeys(c.draining) {
--- a/internal/config/text/evacuation.go
+++ b/internal/config/text/evacuation.go
@@ -12,7 +12,9 @@
 	evacuationKey  = "active"
 )
 
-// evacuation reads whether a zone is evacuated. No task is started in such a zone.
+// evacuation reads a section [evacuation ZONE], which says whether the zone is
+// evacuated: no task is started in such a zone. If the text describes zones, the zone
+// must be one of them.
 func (r *reader) evacuation(zone string, section *document.Section) {
 	active := section.Bool(evacuationKey, true)
 	if !targetName.MatchString(zone) {
@@ -28,7 +30,8 @@
 }
 
 // SetEvacuated returns the text with a zone's evacuation turned on or off and all other
-// lines unchanged. It reports whether the text changed.
+// lines unchanged. It reports whether the text changed. It adds a section if the text
+// has none for the zone and on is true. It does not check the text.
 func SetEvacuated(body []byte, zone string, on bool) (result []byte, changed bool) {
 	header := "[" + evacuationKind + " " + zone + "]"
 	value := evacuationKey + " = false"
--- a/internal/config/text/evacuation_test.go
+++ b/internal/config/text/evacuation_test.go
@@ -14,6 +14,8 @@
 
 const twoZones = "# ours\n[zone leon]\nworkers = 2\n\n[zone celaya]\nworkers = 2\n"
 
+// A zone is evacuated unless its section says otherwise. A zone that is not described is
+// a fault, unless no zone is described.
 func TestEvacuation(t *testing.T) {
 	is := is.New(t)
 	c, err := text.Parse([]byte(twoZones + "[evacuation leon]\n[evacuation celaya]\nactive = false\n"))
@@ -27,8 +29,8 @@
 	is.Equal((*text.Config)(nil).Evacuated(), []string(nil))
 }
 
-// Evacuates and restores zones in random order. The resulting text must evacuate the
-// expected zones and keep its other lines.
+// Evacuates and restores zones in an order that is random by seed. The resulting text
+// must evacuate the expected zones and keep its other lines.
 func TestSetEvacuated(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		body, want := []byte(twoZones), map[string]bool{}
@@ -62,6 +64,8 @@
 	return zones
 }
 
+// A header with other spacing is found. The key is added below it, since a section
+// without the key evacuates the zone.
 func ExampleSetEvacuated() {
 	body, _ := text.SetEvacuated([]byte("[service refill]\n\n[evacuation  leon]\n# the roof leaks\n"), "leon", false)
 	fmt.Print(string(body))
--- a/internal/config/text/parse.go
+++ b/internal/config/text/parse.go
@@ -55,6 +55,8 @@
 	zones   []string
 }
 
+// read returns the configuration and the faults of a text. If there are faults, the
+// configuration is incomplete.
 func read(body []byte) (*Config, Faults) {
 	r := &reader{
 		doc: document.Read(body),
@@ -129,6 +131,9 @@
 	return owner, name, checkName(section, owner) && checkName(section, name)
 }
 
+// readShape reads the shape of a job or a guarantee. It adds a fault and returns false
+// if the values together are not a valid shape; a single invalid value is a fault and
+// replaced by its default.
 func readShape(section *document.Section) (s shape.Shape, ok bool) {
 	const defaultMemory = 1024 // MB
 	members := section.Int("members", 1, 1, shape.MaxMembers)
--- a/internal/config/text/parse_test.go
+++ b/internal/config/text/parse_test.go
@@ -20,6 +20,7 @@
 //go:embed testdata/valid.ini
 var valid string
 
+// Weights in a job's section apply to that kind; an unknown kind has the service's.
 func TestJobWeightsOverrideService(t *testing.T) {
 	is := is.New(t)
 	c, err := text.Parse([]byte(strings.Replace(valid, "declared = 2s", "completionWeight = 0.1\nfragmentationWeight = 1", 1)))
@@ -31,6 +32,7 @@
 	is.Equal([]float64{completion, fragmentation}, []float64{0.8, 0.2}) // the service's
 }
 
+// The values of a valid text are found in the configuration.
 func TestParse(t *testing.T) {
 	is := is.New(t)
 	c, err := text.Parse([]byte(valid))
@@ -53,6 +55,8 @@
 	is.True(a.Operator())
 }
 
+// Each case replaces a piece of the valid text. One of the faults must have the given
+// line and reason.
 func TestCheckReportsFaultyLine(t *testing.T) {
 	const key = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
 	cases := []struct {
@@ -122,6 +126,7 @@
 	}
 }
 
+// Three faults in different sections are all reported, sorted by line.
 func TestCheckReportsAllFaults(t *testing.T) {
 	is := is.New(t)
 	body := strings.NewReplacer("weight = 2", "weight = x", "racks = 2", "racks 2", "[target", "[trgt").Replace(valid)
@@ -135,6 +140,8 @@
 	is.Equal(lines, []int{3, 22, 29})
 }
 
+// Line ends, a byte order mark, comments and spaces do not matter; a text without
+// sections is a fault.
 func TestCheckWholeTexts(t *testing.T) {
 	cases := []struct {
 		name, body string
@@ -158,8 +165,9 @@
 	}
 }
 
-// TestSectionOrderDoesNotMatter shuffles the sections. The configuration must stay the
-// same, except that guarantees keep the order of the text; the text here has only one.
+// TestSectionOrderDoesNotMatter shuffles the sections, at random by seed. The
+// configuration must stay the same, except that guarantees keep the order of the text;
+// the text here has only one.
 func TestSectionOrderDoesNotMatter(t *testing.T) {
 	parts := strings.Split(strings.TrimPrefix(valid, "["), "\n[")
 	want, err := text.Parse([]byte(valid))
@@ -188,8 +196,8 @@
 	}
 }
 
-// TestEachKeyIsDocumented takes the keys from the fault of an unknown key, which lists
-// the known ones.
+// TestEachKeyIsDocumented looks for each key in docs/CONFIGURATION.md. It takes the keys
+// from the fault of an unknown key, which lists the known ones.
 func TestEachKeyIsDocumented(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../../docs/CONFIGURATION.md")
@@ -207,6 +215,8 @@
 	}
 }
 
+// For any text, Parse fails exactly if Check reports faults, and each fault has a reason
+// and, unless it concerns the whole text, a line of the text.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(valid))
 	f.Add([]byte("\ufeff[zone a]\r\nworkers = 0\r\n[job a.b]\nmembers = -1\n"))
--- a/internal/config/text/references.go
+++ b/internal/config/text/references.go
@@ -18,6 +18,7 @@
 	}
 }
 
+// checkDependencies adds a fault for each dependency on a service that is not described.
 func (r *reader) checkDependencies() {
 	for _, section := range r.services {
 		for _, name := range r.config.services[serviceName(section.Name())].dependsOn {
@@ -29,8 +30,8 @@
 }
 
 // checkKeys rejects a key that two accounts share, since the account of a request with
-// it would be ambiguous. It also rejects a text without an operator, since nobody could
-// replace it.
+// it would be ambiguous. It also rejects a text that describes accounts but no operator,
+// since nobody could replace it.
 func (r *reader) checkKeys() {
 	accountOf := map[string]string{}
 	operators := 0
@@ -86,6 +87,8 @@
 	return nil
 }
 
+// cyclePath returns the cycle that findCycle found, by following the predecessors back
+// from the service to itself.
 func cyclePath(predecessor map[string]string, name string) []string {
 	path := []string{name}
 	for node := predecessor[name]; node != name; node = predecessor[node] {
--- a/internal/config/text/service.go
+++ b/internal/config/text/service.go
@@ -18,6 +18,8 @@
 // may wait for its start.
 const maxDuration = 30 * 24 * time.Hour
 
+// service reads a section [service NAME] and adds the service to the configuration
+// unless its name is invalid. Its dependencies are checked once all sections are read.
 func (r *reader) service(name string, section *document.Section) {
 	s := Service{
 		name:          name,
@@ -43,6 +45,9 @@
 	r.services = append(r.services, section)
 }
 
+// job reads a section [job SERVICE.NAME] and adds the kind of job to its service, which
+// has been read before. It adds none if the service is not described or the name or
+// shape is invalid.
 func (r *reader) job(fullName string, section *document.Section) {
 	repeatable := section.Bool("repeatable", true)
 	_ = section.Bool("long", false) // ignored, accepted for older texts: every accepted job is stored
--- a/internal/config/text/zone.go
+++ b/internal/config/text/zone.go
@@ -19,6 +19,8 @@
 	workers []shape.Worker
 }
 
+// zone reads a section [zone NAME] and adds the zone unless its name is invalid. A zone
+// without a valid number of workers has none.
 func (r *reader) zone(name string, section *document.Section) {
 	section.Require("workers")
 	workers := section.Int("workers", 0, 1, maxWorkers)
