--- a/internal/config/version/version.go
+++ b/internal/config/version/version.go
@@ -68,7 +68,8 @@
 )
 
 // BuildCatalog returns the catalog of a text. Each kind of job becomes a queue of its
-// own.
+// own. The accounts have no keys, since the text holds only hashes of them, and requests
+// are not limited.
 func BuildCatalog(number int64, c *text.Config) *catalog.Catalog {
 	var queues []catalog.Queue
 	var services []catalog.Service
@@ -95,7 +96,9 @@
 	priorityLow    = 2
 )
 
-// Queue returns the queue of a kind of job.
+// Queue returns the queue of a kind of job. An urgent or guaranteed kind has the first
+// priority, another stoppable kind the last. A kind that is not repeatable has a single
+// attempt.
 func Queue(s text.Service, k text.Kind) catalog.Queue {
 	q := catalog.Queue{
 		Name: s.Name() + "." + k.Name(), Service: s.Name(), Priority: priorityNormal, MaxAttempts: defaultMaxAttempts,
@@ -117,9 +120,10 @@
 	return q
 }
 
-// Change stores a text as the version after base and returns the version that is
-// current then. The error wraps ErrStaleBase, ErrChangeIDReused, store.ErrUnavailable or
-// store.ErrOutcomeUnknown.
+// Change stores a text as the version after base and returns the version that is current
+// then. It does not check the text. If the current version already has the change id and
+// the text, nothing is written. The error wraps ErrStaleBase or ErrChangeIDReused, with
+// the current version returned, or store.ErrUnavailable or store.ErrOutcomeUnknown.
 func Change(ctx context.Context, s store.Store, base int64, change, body string) (Version, error) {
 	row, err := store.Get(ctx, s, Key)
 	if err != nil {
--- a/internal/config/version/version_test.go
+++ b/internal/config/version/version_test.go
@@ -39,10 +39,12 @@
 count = 3
 `
 
+// link returns a link without faults to an empty table.
 func link() *rows.Link {
 	return rows.NewLink(rows.New(time.Millisecond), rand.New(rand.NewPCG(1, 1)))
 }
 
+// A stored version that is malformed, or whose text has faults, is an error.
 func TestDecodeCatalog(t *testing.T) {
 	is := is.New(t)
 	c, err := version.DecodeCatalog([]byte(`{"number":4,"change":"a","text":"[service refill]\n"}`))
