--- a/internal/host/api/api.go
+++ b/internal/host/api/api.go
@@ -37,7 +37,8 @@
 // SetSettings replaces the settings, for later requests.
 func (a *API) SetSettings(s settings.Settings) { a.settings.Store(&s) }
 
-// Handler returns the handler of all paths.
+// Handler returns the handler of all paths. It limits the size of each request's body as
+// the settings say.
 func (a *API) Handler() http.Handler {
 	router := a.router()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -46,6 +47,8 @@
 	})
 }
 
+// router returns the routes. All paths under /v1 require a client account's key, some of
+// them an operator's.
 func (a *API) router() *mux.Router {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", a.health).Methods(http.MethodGet)
@@ -77,6 +80,8 @@
 }
 
 // instrument records the count and the latency of requests, by route and status.
+// Requests for unknown paths are not recorded. During a planned stop it also asks
+// clients to close their connections.
 func (a *API) instrument(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if a.scheduler.Stopping() {
@@ -106,9 +111,9 @@
 
 // caller is the authenticated sender of a request.
 type caller struct {
-	account  text.Account
+	account  text.Account // zero for the operator's key of the settings
 	operator bool
-	config   *text.Config
+	config   *text.Config // in force when the key was checked; nil: none
 }
 
 // accountFilter returns the account whose jobs the caller may list, or "" for all.
@@ -119,6 +124,7 @@
 	return c.account.Name()
 }
 
+// handler serves a request of an authenticated caller.
 type handler func(w http.ResponseWriter, r *http.Request, c caller)
 
 // ignoreCaller adapts a handler that does not depend on the caller.
@@ -126,7 +132,7 @@
 	return func(w http.ResponseWriter, r *http.Request, _ caller) { f(w, r) }
 }
 
-// authenticated refuses requests without a known key.
+// authenticated refuses requests without a known key with status 401, and counts them.
 func (a *API) authenticated(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		c, ok := a.authenticate(r)
@@ -139,7 +145,8 @@
 	}
 }
 
-// operatorOnly refuses requests without an operator's key.
+// operatorOnly refuses requests without an operator's key, like authenticated, or with
+// status 403 if they have another account's key.
 func (a *API) operatorOnly(h handler) http.HandlerFunc {
 	return a.authenticated(func(w http.ResponseWriter, r *http.Request, c caller) {
 		if !c.operator {
@@ -150,9 +157,10 @@
 	})
 }
 
-// authenticate returns the caller whose key the request carries. The operator's key of
-// the settings is valid only until the first configuration is in force: if it stayed
-// valid, an operator whose account was removed from the text could still act.
+// authenticate returns the caller whose key the request carries. It waits briefly if the
+// configuration in force may be outdated. The operator's key of the settings is valid
+// only until the first configuration is in force: if it stayed valid, an operator whose
+// account was removed from the text could still act.
 func (a *API) authenticate(r *http.Request) (caller, bool) {
 	key, ok := credential.Bearer(r.Header.Get("Authorization"))
 	if !ok {
@@ -176,10 +184,12 @@
 	Host string `json:"host"`
 }
 
+// health answers as long as the process serves requests.
 func (a *API) health(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, hostBody{a.settings.Load().PeerAddress()})
 }
 
+// ready answers with status 503 while clients should be sent to another host.
 func (a *API) ready(w http.ResponseWriter, _ *http.Request) {
 	if !a.scheduler.Ready() {
 		Problem{Status: http.StatusServiceUnavailable, Detail: "not ready: stopping, without a configuration, or unable to store jobs"}.write(w, time.Now())
@@ -194,8 +204,8 @@
 	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
 
-// decodeBody decodes a request's body. On invalid input it writes the error and returns
-// false.
+// decodeBody decodes a request's body. On invalid input, which includes unknown fields,
+// it counts the request, writes the error and returns false.
 func (a *API) decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
@@ -213,8 +223,8 @@
 	return false
 }
 
-// writeUnavailable writes the error of a request that needed the leader or the store
-// and reached neither.
+// writeUnavailable writes the error of a request that needed the leader or the store and
+// reached neither: status 504 if the deadline has passed, otherwise 503.
 func writeUnavailable(w http.ResponseWriter, err error) {
 	now := time.Now()
 	status := http.StatusServiceUnavailable
--- a/internal/host/api/configuration.go
+++ b/internal/host/api/configuration.go
@@ -15,7 +15,8 @@
 	"guavaglade.example/guavaglade/internal/report/view"
 )
 
-// configCache holds the configuration in force, parsed.
+// configCache holds the configuration in force, parsed, so that it is not parsed for
+// each request. It is safe for concurrent use.
 type configCache struct {
 	mu      sync.Mutex
 	version version.Version
@@ -30,8 +31,9 @@
 	return p.text
 }
 
-// currentVersion returns the version in force, or the zero version if there is none. The
-// keeper has validated the text before it accepted it.
+// currentVersion returns the version in force, or the zero version if there is none. It
+// parses the text of a new version and keeps the earlier version if that fails, which is
+// not expected: the keeper has validated the text before it accepted it.
 func (p *configCache) currentVersion(k *catalog.Keeper) version.Version {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,11 +57,16 @@
 	Text    string `json:"text,omitempty"`
 }
 
+// getConfiguration answers with the version in force on this host and its text.
 func (a *API) getConfiguration(w http.ResponseWriter, _ *http.Request, _ caller) {
 	v := a.configCache.currentVersion(a.scheduler.Catalog())
 	writeJSON(w, http.StatusOK, ConfigurationView{Version: v.Number, Change: v.Change, Text: v.Text})
 }
 
+// putConfiguration stores a text without faults as the next version, which the hosts put
+// in force afterwards. It answers with status 409 and the current version if the change
+// is based on another one, and with 422 for a text with faults or a change id that was
+// used with another text.
 func (a *API) putConfiguration(w http.ResponseWriter, r *http.Request, _ caller) {
 	var body struct {
 		Base   int64  `json:"base"`
--- a/internal/host/api/jobs.go
+++ b/internal/host/api/jobs.go
@@ -29,8 +29,8 @@
 	maxPollInterval = 400 * time.Millisecond // each read costs a call to the leader
 )
 
-// waitDeadline returns until when a client wants to wait. The parameter is optional, and
-// the settings limit it.
+// waitDeadline returns until when a client wants to wait, the zero time without the
+// parameter wait. The settings limit it.
 func (a *API) waitDeadline(r *http.Request, now time.Time) (time.Time, error) {
 	q := r.URL.Query().Get("wait")
 	if q == "" {
@@ -43,6 +43,8 @@
 	return now.Add(min(d, a.settings.Load().MaxWait())), nil
 }
 
+// submit stores a job of the caller's account and answers with its state. The operator's
+// key of the settings cannot submit jobs, since it has no account.
 func (a *API) submit(w http.ResponseWriter, r *http.Request, c caller) {
 	now := time.Now()
 	var body request.Request
@@ -69,8 +71,9 @@
 	a.replySubmitted(w, r, j, until)
 }
 
-// replySubmitted writes the response for a stored job. If the request id was used before,
-// the stored job is the earlier one.
+// replySubmitted writes the response for a stored job once the job has ended or the
+// deadline has passed. If the request id was used before, the stored job is the earlier
+// one; one of another kind is an error.
 func (a *API) replySubmitted(w http.ResponseWriter, r *http.Request, j *graph.Job, until time.Time) {
 	by := entry.Caller{Account: j.Account}
 	jobStatus, err := a.awaitEnd(r.Context(), j.ID, by, until)
@@ -91,7 +94,9 @@
 	writeJSON(w, status, JobView{ID: j.ID, Job: jobStatus.Queue, State: jobStatus.State})
 }
 
-// awaitEnd returns the status of a job once it has ended or the deadline has passed.
+// awaitEnd returns the status of a job once it has ended or the deadline has passed. It
+// reads the status at least once. Until the deadline it tries again after any error but
+// ErrNoJob.
 func (a *API) awaitEnd(ctx context.Context, id graph.JobID, by entry.Caller, until time.Time) (view.JobStatus, error) {
 	for interval := minPollInterval; ; interval = min(2*interval, maxPollInterval) {
 		status, err := a.scheduler.Entry().Status(ctx, id, by)
@@ -129,6 +134,7 @@
 // jobID returns the job id in the path of a request.
 func jobID(r *http.Request) graph.JobID { return graph.JobID(mux.Vars(r)["id"]) }
 
+// entry returns the caller in the form in which the entry checks access.
 func (c caller) entry() entry.Caller {
 	return entry.Caller{Account: c.account.Name(), Operator: c.operator}
 }
@@ -148,6 +154,8 @@
 	writeUnavailable(w, err)
 }
 
+// get answers with the state of a job, after the job has ended or the wait that the
+// client asked for is over.
 func (a *API) get(w http.ResponseWriter, r *http.Request, c caller) {
 	id := jobID(r)
 	until, err := a.waitDeadline(r, time.Now())
@@ -163,10 +171,12 @@
 	writeJSON(w, http.StatusOK, JobView{ID: id, Job: status.Queue, State: status.State})
 }
 
+// explain answers with a job's history, if the caller may access the job.
 func (a *API) explain(w http.ResponseWriter, r *http.Request, c caller) {
 	Views{a.scheduler}.history(w, r, c.entry())
 }
 
+// cancel answers once the cancellation is stored. Running tasks are stopped later.
 func (a *API) cancel(w http.ResponseWriter, r *http.Request, c caller) {
 	id := jobID(r)
 	if err := a.scheduler.Entry().Cancel(r.Context(), id, c.entry()); err != nil {
@@ -178,6 +188,7 @@
 	}{id})
 }
 
+// list answers with the jobs of the caller's account, or with all jobs for an operator.
 func (a *API) list(w http.ResponseWriter, r *http.Request, c caller) {
 	Views{a.scheduler}.jobs(w, r, c.accountFilter())
 }
--- a/internal/host/api/method.go
+++ b/internal/host/api/method.go
@@ -10,8 +10,8 @@
 )
 
 // addMethodNotAllowed adds handlers that answer 405 with the allowed methods if a path
-// is known but the method is not. The router alone would answer 404 if a later route of
-// the same subrouter was tried.
+// is known but the method is not. It must be called after all routes are added. The
+// router alone would answer 404 if a later route of the same subrouter was tried.
 func addMethodNotAllowed(r *mux.Router) {
 	allowed := map[string][]string{}
 	_ = r.Walk(func(route *mux.Route, _ *mux.Router, _ []*mux.Route) error {
--- a/internal/host/api/openapi_test.go
+++ b/internal/host/api/openapi_test.go
@@ -39,6 +39,7 @@
 	return calls
 }
 
+// The served routes must be exactly the calls that docs/openapi.yaml describes.
 func TestRoutesMatchOpenAPI(t *testing.T) {
 	is := is.New(t)
 	var served []string
--- a/internal/host/api/operator_test.go
+++ b/internal/host/api/operator_test.go
@@ -52,6 +52,8 @@
 	is.Equal(statusOf(err), http.StatusUnauthorized)
 }
 
+// statusOf returns the HTTP status of a host's error response, 0 for nil and for other
+// errors.
 func statusOf(err error) int {
 	var problem *client.Error
 	if errors.As(err, &problem) {
--- a/internal/host/api/problem.go
+++ b/internal/host/api/problem.go
@@ -19,8 +19,8 @@
 	Faults     []string  `json:"faults,omitempty"`  // of a configuration text
 }
 
-// write sends the problem. If it has RetryAfter, the header Retry-After gives the delay
-// in whole seconds.
+// write sends the problem. Type and Title have defaults. If it has RetryAfter, the
+// header Retry-After gives the delay from now in whole seconds, at least one.
 func (p Problem) write(w http.ResponseWriter, now time.Time) {
 	if p.Type == "" {
 		p.Type = "about:blank"
--- a/internal/host/api/views.go
+++ b/internal/host/api/views.go
@@ -36,6 +36,8 @@
 	return r
 }
 
+// jobs answers with the jobs of an account that the leader knows, or with those of all
+// accounts if account is empty.
 func (v Views) jobs(w http.ResponseWriter, r *http.Request, account string) {
 	list, err := v.scheduler.Views().Jobs(r.Context(), account)
 	if err != nil {
@@ -73,6 +75,8 @@
 	writeJSON(w, http.StatusOK, view.History{Job: job, Decisions: []view.Decision{}})
 }
 
+// inForce answers with the configuration version in force on each host, as the leader
+// knows it.
 func (v Views) inForce(w http.ResponseWriter, r *http.Request) {
 	list, err := v.scheduler.Views().InForce(r.Context())
 	if err != nil {
@@ -82,6 +86,7 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
+// fleet answers with the leader's view of targets, zones and accounts.
 func (v Views) fleet(w http.ResponseWriter, r *http.Request) {
 	f, err := v.scheduler.Views().Fleet(r.Context())
 	if err != nil {
@@ -91,7 +96,8 @@
 	writeJSON(w, http.StatusOK, f)
 }
 
-// burn answers with the burn report as text, SVG or, by default, JSON.
+// burn answers with the burn report of the hosts, as text or SVG if the parameter format
+// says so, otherwise as JSON.
 func (v Views) burn(w http.ResponseWriter, r *http.Request) {
 	report, err := v.scheduler.Burn(r.Context())
 	if err != nil {
