--- a/internal/host/credential/credential_test.go
+++ b/internal/host/credential/credential_test.go
@@ -28,6 +28,8 @@
 	"guavaglade.example/guavaglade/internal/host/credential"
 )
 
+// A key belongs to the account with its hash, in either case of letters. Unknown and
+// empty keys belong to none.
 func TestKeyFindsItsAccount(t *testing.T) {
 	is := is.New(t)
 	body := fmt.Sprintf("[account a]\nkeyHash = %s\n[account b]\noperator = true\nkeyHash = %s\n",
@@ -45,6 +47,8 @@
 	is.True(!credential.NewKey("one").Matches(""))
 }
 
+// The scheme is compared without regard to case, and other schemes and empty keys are
+// refused.
 func TestBearer(t *testing.T) {
 	for header, want := range map[string]bool{
 		"Bearer one": true, "bearer  one ": true, "Basic one": false, "Bearer": false, "Bearer ": false, "": false,
@@ -56,6 +60,8 @@
 	}
 }
 
+// No verb, logger, encoder or wrapped error may show the secret, also where the key is a
+// field of another value.
 func TestKeyIsNeverPrinted(t *testing.T) {
 	k := credential.NewKey("s3cret")
 	holder := struct{ K credential.Key }{k}
@@ -103,6 +109,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.cert.Raw})
 }
 
+// issue returns a certificate for 127.0.0.1, for servers and clients, and its key.
 func (a authority) issue(t *testing.T, serial int64) (certPEM, keyPEM []byte) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -128,6 +135,7 @@
 // host names the credential files of a host.
 type host struct{ cert, key, ca string }
 
+// newHost returns file names in a new directory. The files do not exist yet.
 func newHost(t *testing.T) host {
 	t.Helper()
 	dir := t.TempDir()
@@ -141,6 +149,8 @@
 	}
 }
 
+// install writes a new certificate and key of the authority, and the authority's own
+// certificate, to the host's files.
 func (h host) install(t *testing.T, a authority, serial int64) {
 	t.Helper()
 	cert, key := a.issue(t, serial)
@@ -190,6 +200,8 @@
 	return c.ConnectionState().PeerCertificates[0].SerialNumber.Int64(), nil
 }
 
+// Hosts of one authority accept each other. Both server and client refuse a host of
+// another authority, and a server refuses a client without a certificate.
 func TestMutualTLSRefusesUnknownAuthority(t *testing.T) {
 	is := is.New(t)
 	known, unknown := newAuthority(t), newAuthority(t)
@@ -270,6 +282,8 @@
 	is.NoErr(err)
 }
 
+// A certificate for callers is replaced, together with its key. The next connection must
+// be served with it.
 func TestCallersGetReplacedCertificate(t *testing.T) {
 	is := is.New(t)
 	ca, h := newAuthority(t), newHost(t)
@@ -289,6 +303,8 @@
 	is.True(c.Expires().After(time.Now()))
 }
 
+// Missing files and files without a certificate or key are errors when they are first
+// read.
 func TestUnusableFilesAreRefusedAtStart(t *testing.T) {
 	is := is.New(t)
 	ca, h := newAuthority(t), newHost(t)
--- a/internal/host/credential/reloader.go
+++ b/internal/host/credential/reloader.go
@@ -8,8 +8,9 @@
 	"sync"
 )
 
-// ErrorHandler is called with the reason why replaced files cannot be used, once for each
-// content of the files.
+// ErrorHandler is called with the reason why replaced files cannot be used, not again
+// while the reason and the content of the files stay the same. It must not use the
+// certificate that it is called for, whose lock is held.
 type ErrorHandler func(error)
 
 // reloader holds the value parsed from the current content of files. It is safe for
@@ -44,6 +45,7 @@
 	return r, nil
 }
 
+// read returns the contents of all files, in the order of their names.
 func (r *reloader[T]) read() ([][]byte, error) {
 	contents := make([][]byte, 0, len(r.names))
 	for _, name := range r.names {
--- a/internal/host/credential/tls.go
+++ b/internal/host/credential/tls.go
@@ -25,6 +25,7 @@
 	return &Certificate{r}, nil
 }
 
+// parsePair parses a certificate and its key. It fails if they do not match.
 func parsePair(contents [][]byte) (*tls.Certificate, error) {
 	pair, err := tls.X509KeyPair(contents[0], contents[1])
 	if err != nil {
@@ -33,7 +34,8 @@
 	return &pair, nil
 }
 
-// Expires returns when the certificate in use expires.
+// Expires returns when the certificate in use expires. It reads the files first, as a
+// handshake does.
 func (c *Certificate) Expires() time.Time { return c.reloader.current().Leaf.NotAfter }
 
 // ServerConfig returns the TLS configuration for connections of callers, which need no
@@ -68,9 +70,11 @@
 	return &MutualTLS{cert, pool}, nil
 }
 
-// Expires returns when the host's own certificate expires.
+// Expires returns when the host's own certificate expires. It reads its files first, as
+// a handshake does.
 func (m *MutualTLS) Expires() time.Time { return m.cert.Expires() }
 
+// parsePool parses the certificates of authorities. It fails if there are none.
 func parsePool(contents [][]byte) (*x509.CertPool, error) {
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(contents[0]) {
