--- a/internal/host/settings/check.go
+++ b/internal/host/settings/check.go
@@ -16,8 +16,8 @@
 	return nil
 }
 
-// checkListenAddress checks an address that this host listens on and that others connect
-// to. With port 0 the operating system chooses the port.
+// checkListenAddress refuses an address unless this host can listen on it and others can
+// connect to it. With port 0 the operating system chooses the port.
 func checkListenAddress(address string) error {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// checkDialAddress checks an address that this host connects to.
+// checkDialAddress refuses an address unless this host can connect to it.
 func checkDialAddress(address string) error {
 	if err := checkListenAddress(address); err != nil {
 		return err
@@ -40,6 +40,7 @@
 	return nil
 }
 
+// checkHash refuses a text that is not a SHA-256 in hexadecimal.
 func checkHash(hash string) error {
 	if b, err := hex.DecodeString(hash); err != nil || len(b) != 32 {
 		return fmt.Errorf("not a SHA-256 of 64 hexadecimal digits")
--- a/internal/host/settings/field.go
+++ b/internal/host/settings/field.go
@@ -50,6 +50,8 @@
 	durationField("stopGrace", "duration that a planned stop waits for callers' answers", 0, time.Hour, func(s *Settings) *time.Duration { return &s.limits.StopGrace }),
 }
 
+// textField returns the field of a text that check does not refuse. value returns where
+// the settings hold it. An empty or refused value is a fault and leaves the default.
 func textField(section, key, unit string, required bool, check func(string) error, value func(*Settings) *string) field {
 	read := func(d *document.Section, key string, s *Settings) {
 		v := d.Text(key, "")
@@ -71,10 +73,13 @@
 	return f
 }
 
+// fileField returns the field of a file name in the section tls. The file is not read.
 func fileField(key, unit string, value func(*Settings) *string) field {
 	return textField("tls", key, unit, false, func(string) error { return nil }, value)
 }
 
+// operatorField returns the field of the operator's key hash, which is not printed and
+// can change on a running host.
 func operatorField() field {
 	value := func(s *Settings) *string { return &s.operatorKeyHash }
 	f := textField("operator", "keyHash", "SHA-256 in hexadecimal of the key that may apply the first configuration", false, checkHash, value)
--- a/internal/host/settings/parse.go
+++ b/internal/host/settings/parse.go
@@ -26,7 +26,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads settings from a file.
+// Load reads settings from a file and parses them.
 func Load(file string) (Settings, error) {
 	body, err := os.ReadFile(file)
 	if err != nil {
@@ -79,6 +79,8 @@
 	}
 }
 
+// checkSections adds a fault for each unknown section and each unknown key of a known
+// one. It must be called after all fields are read.
 func checkSections(d *document.Document) {
 	known := map[string]bool{}
 	for _, f := range fields {
--- a/internal/host/settings/reload.go
+++ b/internal/host/settings/reload.go
@@ -12,7 +12,9 @@
 	NeedRestart []string // not applied; they need a restart
 }
 
-// Reload returns the settings with the values of next that a running host can apply.
+// Reload returns a copy of the settings with the values of next that a running host can
+// apply. The other keys keep their values; those that differ in next are listed as
+// needing a restart.
 func (s Settings) Reload(next Settings) (Settings, ReloadResult) {
 	current := s
 	current.sources = maps.Clone(s.sources)
--- a/internal/host/settings/settings.go
+++ b/internal/host/settings/settings.go
@@ -42,7 +42,8 @@
 type Option func(*Settings)
 
 // New returns settings for a host of the zone, with defaults for what no option sets. It
-// refuses a zone or an address that Parse would refuse.
+// refuses a zone or an address that Parse would refuse. It does not check the values of
+// options.
 func New(zone, callerAddress, peerAddress, platform string, opts ...Option) (Settings, error) {
 	s := defaults()
 	s.zone, s.callerAddress, s.peerAddress, s.platform = zone, callerAddress, peerAddress, platform
@@ -59,7 +60,8 @@
 	return s, nil
 }
 
-// WithUnreadyTime sets how long a planned stop keeps serving requests.
+// WithUnreadyTime sets how long a planned stop keeps serving requests after the host
+// reports that it is not ready.
 func WithUnreadyTime(d time.Duration) Option {
 	return func(s *Settings) { s.limits.UnreadyTime = d }
 }
@@ -68,6 +70,7 @@
 // the first configuration.
 func WithOperatorKeyHash(hash string) Option { return func(s *Settings) { s.operatorKeyHash = hash } }
 
+// defaults returns settings without the zone and the addresses, which have no default.
 func defaults() Settings {
 	return Settings{
 		logLevel: "info",
@@ -126,7 +129,7 @@
 // StopGrace returns how long a planned stop waits for requests in progress.
 func (s Settings) StopGrace() time.Duration { return s.limits.StopGrace }
 
-// LogLevel returns the lowest level that is logged.
+// LogLevel returns the lowest level that is logged, info for an unknown one.
 func (s Settings) LogLevel() slog.Level {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(s.logLevel)); err != nil {
--- a/internal/host/settings/settings_test.go
+++ b/internal/host/settings/settings_test.go
@@ -28,6 +28,7 @@
 maxWait = 90s
 `
 
+// Values of the text replace the defaults, and other values keep them.
 func TestParse(t *testing.T) {
 	is := is.New(t)
 	s, err := settings.Parse("host.ini", []byte(fullSettings))
@@ -38,6 +39,8 @@
 	is.Equal(s.MaxBodyBytes(), 1<<20)
 }
 
+// Each case replaces a piece of valid settings. The error must name the line, section
+// and key.
 func TestParseErrors(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
 		{"host name", "127.0.0.1:7000", "platform:7000", `host.ini: line 6: [platform] address: "platform:7000" is not IP:port; host names are not allowed`},
@@ -69,6 +72,7 @@
 	}
 }
 
+// Faults of all kinds in one file are reported together, sorted by line.
 func TestParseReportsAllFaults(t *testing.T) {
 	is := is.New(t)
 	_, err := settings.Parse("host.ini", []byte("[host]\nzone = a b\ncallerAddress = x\nspare = 1\n[other]\n"))
@@ -81,6 +85,7 @@
 	is.Equal(lines, []int{0, 1, 2, 3, 4, 5}) // platform, peerAddress, zone, callerAddress, spare, [other]
 }
 
+// The printed settings are compared with a golden file, and parse to the same settings.
 func TestPrintedSettingsParse(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "host.ini")
@@ -96,6 +101,7 @@
 	goldie.New(t).Assert(t, "print", bytes.ReplaceAll(first.Bytes(), []byte(file), []byte("host.ini")))
 }
 
+// Each key that is printed must be found in docs/CONFIGURATION.md.
 func TestEachKeyIsDocumented(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../../docs/CONFIGURATION.md")
@@ -110,6 +116,7 @@
 	}
 }
 
+// New refuses addresses that Parse refuses, and applies options.
 func TestNewRefusesHostNames(t *testing.T) {
 	is := is.New(t)
 	_, err := settings.New("z", "127.0.0.1:0", "127.0.0.1:0", "localhost:1")
@@ -143,6 +150,7 @@
 	is.Equal(done, settings.ReloadResult{})
 }
 
+// A text is settings if it has a section [host], also an empty one.
 func TestIsSettings(t *testing.T) {
 	is := is.New(t)
 	is.True(settings.IsSettings([]byte(fullSettings)))
