--- a/internal/standin/pool/checks.go
+++ b/internal/standin/pool/checks.go
@@ -17,7 +17,8 @@
 	p.breaches = append(p.breaches, Breach{At: p.now, Rule: rule, Target: t.ID, Run: r, Why: why})
 }
 
-// checkStart records a breach for each guarantee of the system that a start violates.
+// checkStart records a breach for each guarantee of the system that a start violates. It
+// does not prevent the start.
 func (p *Pool) checkStart(x *execution, checkpoint string) {
 	p.checkSingleRun(x)
 	p.checkPlacement(x)
--- a/internal/standin/pool/orders.go
+++ b/internal/standin/pool/orders.go
@@ -7,7 +7,9 @@
 	"guavaglade.example/guavaglade/internal/fleet/order"
 )
 
-// resolve returns the incarnation that an order is for.
+// resolve returns the live incarnation that an order is for. The error is
+// order.ErrUnreached if none is at the address, order.ErrOtherIncarnation if it has
+// another id.
 func (p *Pool) resolve(to order.Address) (*target, error) {
 	t := p.byAddress[to.Host]
 	if t == nil {
@@ -19,7 +21,8 @@
 	return t, nil
 }
 
-// checkToken accepts a fencing token unless it is lower than an accepted one.
+// checkToken accepts a fencing token unless it is lower than an accepted one, and keeps
+// it as the highest.
 func (t *target) checkToken(term int64) error {
 	if term < t.highestToken {
 		return order.ErrFenced
@@ -28,13 +31,17 @@
 	return nil
 }
 
-// renewLease extends the lease to the deadline, at most by the configured maximum.
+// renewLease extends the lease to the deadline, on the target's clock, at most by the
+// configured maximum from now. It never shortens the lease.
 func (p *Pool) renewLease(t *target, deadline int64, now time.Time) {
 	longest := t.clock(now) + p.bounds.Lease.Milliseconds()
 	t.leaseEnd = max(t.leaseEnd, min(deadline, longest))
 }
 
-// Start executes a start order.
+// Start advances the pool's time, executes a start order and returns the target's clock.
+// A start of a run that is on the target only renews the lease. A start of an unknown
+// job is recorded as a breach and refused; other breaches are recorded and the run
+// starts.
 func (p *Pool) Start(to order.Address, s order.Start, now time.Time) (int64, error) {
 	p.Advance(now)
 	t, err := p.resolve(to)
@@ -67,7 +74,8 @@
 	return clock, nil
 }
 
-// startRun starts a run on a target.
+// startRun starts a run on a target and checks it for breaches. A member of a gang
+// begins to work once all members have started.
 func (p *Pool) startRun(t *target, j *jobState, s order.Start, now time.Time) {
 	step := &j.job.Steps[s.Run.Task.Step]
 	x := &execution{Run: s.Run, target: t, jobState: j, step: step, startedAt: now}
@@ -91,7 +99,10 @@
 	}
 }
 
-// Stop executes a stop order.
+// Stop advances the pool's time, executes a stop order and returns the target's clock.
+// The run ends after half of Bounds.StopTime, with a checkpoint if its step has them. It
+// and earlier runs of its task cannot start on the target any more, also if they were
+// not there.
 func (p *Pool) Stop(to order.Address, r order.Run, term int64, now time.Time) (int64, error) {
 	p.Advance(now)
 	t, err := p.resolve(to)
@@ -109,8 +120,9 @@
 	return clock, nil
 }
 
-// Poll executes a poll: it renews the target's lease, removes the acknowledged ends, and
-// returns the runs and the ends that are left. It does not wait for an end.
+// Poll advances the pool's time and executes a poll: it renews the target's lease,
+// removes the acknowledged ends, and returns the runs and the ends that are left. It
+// does not wait for an end.
 func (p *Pool) Poll(to order.Address, poll order.Poll, now time.Time) (order.Report, error) {
 	p.Advance(now)
 	t, err := p.resolve(to)
@@ -136,6 +148,7 @@
 	return t != nil && len(t.unackedEnds) > 0 && t.unackedEnds[len(t.unackedEnds)-1].Number > acked
 }
 
+// percent returns the share of the work that is done.
 func (x *execution) percent() int {
 	if x.totalWork <= 0 {
 		return 100
--- a/internal/standin/pool/pool.go
+++ b/internal/standin/pool/pool.go
@@ -14,10 +14,10 @@
 // Bounds are the limits and times of the targets.
 type Bounds struct {
 	Lease              time.Duration // longest that may be granted
-	StopTime           time.Duration
-	GangTimeout        time.Duration
+	StopTime           time.Duration // limit for a stop; runs stop after half of it
+	GangTimeout        time.Duration // how long a run waits for the rest of its gang
 	CheckpointInterval time.Duration // of work
-	RemoteSlowdown     float64
+	RemoteSlowdown     float64       // factor for work far from its data or its gang
 }
 
 // DefaultBounds returns the bounds of current deployments.
@@ -48,7 +48,7 @@
 // Breach is a start that violates a guarantee of the system.
 type Breach struct {
 	At     time.Time
-	Rule   string
+	Rule   string // BUDGET, LIMIT, ORDER, ROUTE, TWICE or UNASKED
 	Target string
 	Run    order.Run
 	Why    string
@@ -77,7 +77,8 @@
 // SetLookup sets the lookup for jobs that were not submitted to the pool.
 func (p *Pool) SetLookup(f Lookup) { p.lookup = f }
 
-// findJob returns a submitted job, looking it up if needed; nil if there is none.
+// findJob returns a submitted job, or nil if there is none. A job that only the lookup
+// knows is submitted first.
 func (p *Pool) findJob(id graph.JobID) *jobState {
 	if p.jobs[id] == nil && p.lookup != nil {
 		if j, b := p.lookup(id); j != nil {
@@ -92,8 +93,8 @@
 	return &Pool{bounds: b, targets: map[string]*target{}, byAddress: map[string]*target{}, jobs: map[graph.JobID]*jobState{}}
 }
 
-// Add starts an incarnation of a target and kills the earlier one at the address. Its
-// clock runs at the rate, relative to true time.
+// Add starts an incarnation of a target and kills the earlier one at the address, if
+// any. Its clock runs at the rate, relative to true time.
 func (p *Pool) Add(t roster.Target, rate float64, now time.Time) {
 	if old := p.byAddress[t.Address]; old != nil {
 		p.Kill(old.ID, now)
@@ -102,7 +103,8 @@
 	p.targets[t.ID], p.byAddress[t.Address] = incarnation, incarnation
 }
 
-// Kill ends an incarnation without reporting the ends of its runs.
+// Kill ends an incarnation without reporting the ends of its runs. The other members of
+// their gangs end as broken. It does nothing if the target is unknown or dead.
 func (p *Pool) Kill(id string, now time.Time) {
 	t := p.targets[id]
 	if t == nil || t.dead {
@@ -125,13 +127,14 @@
 // SetSpeed sets the speed of a target's tasks, relative to that of a healthy target.
 func (p *Pool) SetSpeed(id string, speed float64) { p.targets[id].speed = speed }
 
-// SetFailing sets whether every run that a target starts fails at once.
+// SetFailing sets whether every run that a target starts from now on fails at once.
 func (p *Pool) SetFailing(id string, on bool) { p.targets[id].failing = on }
 
 // SetRejecting sets whether a target refuses starts as unhealthy.
 func (p *Pool) SetRejecting(id string, on bool) { p.targets[id].rejecting = on }
 
-// Submit adds a job. A start of an unknown job is a breach.
+// Submit adds a job. A start of a job that was not added and that the lookup does not
+// know is a breach.
 func (p *Pool) Submit(j *graph.Job, b Behaviour) {
 	p.jobs[j.ID] = &jobState{job: j, behaviour: b, done: map[graph.TaskID]bool{}, ackedDone: map[graph.TaskID]bool{}, ackedFailures: map[graph.TaskID]int{}}
 }
@@ -139,7 +142,8 @@
 // HasJob reports whether a job was submitted or looked up.
 func (p *Pool) HasJob(id graph.JobID) bool { return p.jobs[id] != nil }
 
-// RecordCancelled records that the cancellation of a job was acknowledged.
+// RecordCancelled records that the cancellation of a job was acknowledged. Starts more
+// than cancelGrace later are breaches. Only the first call has an effect.
 func (p *Pool) RecordCancelled(id graph.JobID, now time.Time) {
 	if j := p.jobs[id]; j != nil && j.cancelledAt.IsZero() {
 		j.cancelledAt = now
@@ -149,7 +153,7 @@
 // Breaches returns the breaches so far.
 func (p *Pool) Breaches() []Breach { return p.breaches }
 
-// Starts returns the number of runs started.
+// Starts returns the number of runs started on all targets, including dead ones.
 func (p *Pool) Starts() int { return p.starts }
 
 // StartsOn returns the number of runs started on a target.
@@ -176,7 +180,8 @@
 	return 0
 }
 
-// TasksDone returns the number of tasks of a job that ended as done.
+// TasksDone returns the number of tasks of a submitted job that ended as done,
+// acknowledged or not.
 func (p *Pool) TasksDone(id graph.JobID) int { return len(p.jobs[id].done) }
 
 // Running returns the number of runs on all targets.
@@ -200,5 +205,5 @@
 	return list
 }
 
-// Drain marks a target as draining.
+// Drain marks a target as draining in the roster. The target still executes starts.
 func (p *Pool) Drain(id string) { p.targets[id].Draining = true }
--- a/internal/standin/pool/running.go
+++ b/internal/standin/pool/running.go
@@ -10,8 +10,9 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// Advance advances the pool's time. Steps should be short: within a step, events are
-// processed in a fixed order.
+// Advance advances the pool's time to now: leases lapse, and runs proceed and end. A
+// time that is not after the pool's has no effect. Steps should be short: within a step,
+// events are processed in a fixed order.
 func (p *Pool) Advance(now time.Time) {
 	passed := now.Sub(p.now)
 	if p.now.IsZero() || passed <= 0 {
@@ -37,6 +38,8 @@
 	return list
 }
 
+// advanceTarget ends all runs of a target as lapsed if its lease has ended, without the
+// work done in the step. Otherwise it advances each run.
 func (p *Pool) advanceTarget(t *target, passed time.Duration, now time.Time) {
 	if len(t.runs) > 0 && t.clock(now) >= t.leaseEnd {
 		t.lapsedThrough = t.lastEnd
@@ -55,6 +58,10 @@
 	}
 }
 
+// advanceRun ends a run that was stopped or whose gang is incomplete for too long.
+// Otherwise it does the work of the step, saves a checkpoint if one is due, and ends the
+// run if it fails or is done. A long-running run is never done. A run of a stalled
+// target does no work but can be stopped.
 func (p *Pool) advanceRun(x *execution, passed time.Duration, now time.Time) {
 	switch {
 	case !x.stopAt.IsZero() && !now.Before(x.stopAt):
@@ -112,7 +119,8 @@
 	return members
 }
 
-// joinGang activates a gang once all its members have started.
+// joinGang activates x's gang once all its members have started, all with the longest
+// work of any member.
 func (p *Pool) joinGang(x *execution) {
 	members := p.gangMembers(x)
 	if len(members) < x.step.Count {
@@ -132,7 +140,8 @@
 	}
 }
 
-// breakGang ends the other members of a gang after x ended.
+// breakGang ends the other members of x's gang as broken after x ended. It does nothing
+// without a gang.
 func (p *Pool) breakGang(x *execution) {
 	if !x.step.Gang {
 		return
@@ -154,6 +163,8 @@
 	return name + "@" + strconv.FormatInt(int64(saved), 10)
 }
 
+// parseCheckpoint returns the work that a checkpoint covers, 0 for none or a malformed
+// one.
 func parseCheckpoint(c string) time.Duration {
 	_, n, _ := strings.Cut(c, "@")
 	v, err := strconv.ParseInt(n, 10, 64)
--- a/internal/standin/pool/target.go
+++ b/internal/standin/pool/target.go
@@ -48,6 +48,8 @@
 	failsAtOnce  bool
 }
 
+// clock returns the target's clock in milliseconds. It does not begin at 0 and may be
+// slow.
 func (t *target) clock(now time.Time) int64 {
 	return 1000 + int64(float64(now.Sub(t.startedAt).Milliseconds())*t.clockRate)
 }
@@ -75,7 +77,8 @@
 	return list
 }
 
-// end removes a run and lists its end.
+// end removes a run and lists its end with its newest checkpoint. The run cannot start
+// on the target any more.
 func (t *target) end(x *execution, how order.EndReason) {
 	delete(t.runs, x.Run)
 	t.staleThrough[x.Task] = max(t.staleThrough[x.Task], x.Number)
--- a/internal/standin/pool/transport.go
+++ b/internal/standin/pool/transport.go
@@ -39,7 +39,8 @@
 	return s
 }
 
-// Do calls f with exclusive access to the pool.
+// Do calls f with exclusive access to the pool and the current time. It does not advance
+// the pool's time. f must not call methods of Shared.
 func (s *Shared) Do(f func(p *Pool, now time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +97,9 @@
 	return t.faults, t.rnd.Float64(), t.rnd.Float64()
 }
 
-// send has an order executed, with the injected faults.
+// send has an order executed, with the delay and the injected faults. An order that is
+// not answered returns order.ErrUnanswered when the context ends, whether it was
+// executed or not. The delay does not end with the context.
 func (t *Transport) send(ctx context.Context, to order.Address, do func(p *Pool, now time.Time) (int64, error)) (clock int64, err error) {
 	f, lose, late := t.draw()
 	if f.Unreachable[to.ID] {
@@ -131,13 +134,15 @@
 	return t.send(ctx, to, func(p *Pool, now time.Time) (int64, error) { return p.Stop(to, r, term, now) })
 }
 
-// Pace implements order.Transport. It has no effect: tasks of a pool do not interfere
-// with each other.
+// Pace implements order.Transport. It only has the delay and the faults of an order:
+// tasks of a pool do not interfere with each other.
 func (t *Transport) Pace(ctx context.Context, to order.Address, _ order.Run, _ int, _ int64) (int64, error) {
 	return t.send(ctx, to, func(*Pool, time.Time) (int64, error) { return 0, nil })
 }
 
-// Poll implements order.Transport.
+// Poll implements order.Transport. It polls the pool every TickInterval, each time with
+// the delay and the faults, until the target lists an end or poll.Wait has passed. Only
+// the first of these polls renews the lease.
 func (t *Transport) Poll(ctx context.Context, to order.Address, poll order.Poll) (order.Report, error) {
 	t.mu.Lock()
 	t.polls++
