--- a/internal/standin/rows/link.go
+++ b/internal/standin/rows/link.go
@@ -56,6 +56,7 @@
 }
 
 // applyFaults waits for the latency and returns the error that the faults cause, if any.
+// On an unresponsive link it waits until the context ends.
 func (l *Link) applyFaults(ctx context.Context, f Faults) error {
 	if f.Refuse {
 		return fmt.Errorf("stand-in link: %w", store.ErrUnavailable)
--- a/internal/standin/rows/table.go
+++ b/internal/standin/rows/table.go
@@ -67,6 +67,8 @@
 	return nil
 }
 
+// commit applies a transaction, without latency or limits, and wakes all calls of
+// Changes. On a conflict it changes nothing and returns the current rows.
 func (t *Table) commit(tx store.Tx) (store.Result, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,7 +101,8 @@
 	return store.Result{Version: t.version}, nil
 }
 
-// Put writes a row on behalf of a writer outside the system.
+// Put writes a row on behalf of a writer outside the system, without latency or limits,
+// and returns the new version.
 func (t *Table) Put(k store.Key, value []byte) int64 {
 	res, err := t.commit(store.Tx{Put: []store.Put{{Key: k, Value: value}}})
 	if err != nil {
@@ -108,7 +111,7 @@
 	return res.Version
 }
 
-// Remove removes a row on behalf of a writer outside the system.
+// Remove removes a row on behalf of a writer outside the system, without latency.
 func (t *Table) Remove(k store.Key) {
 	_, _ = t.commit(store.Tx{Remove: []store.Key{k}}) // cannot fail without a condition
 }
@@ -169,6 +172,8 @@
 	}
 }
 
+// changesSince returns the changes of a table after a version, and a channel that is
+// closed at the store's next change. It fails if some of them may have been compacted.
 func (t *Table) changesSince(table string, after int64) (store.Page, chan struct{}, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -184,13 +189,16 @@
 	return page, t.changed, nil
 }
 
-// Compact drops the history of changes.
+// Compact drops the history of changes. Changes then fails with store.ErrCompacted for
+// every version before the current one.
 func (t *Table) Compact() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.compactedThrough, t.changes = t.version, nil
 }
 
+// sleep waits for the duration. It returns the context's error if the context ends
+// first.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d == 0 {
 		return ctx.Err()
