--- a/internal/standin/site/jobs.go
+++ b/internal/standin/site/jobs.go
@@ -11,9 +11,9 @@
 	"guavaglade.example/guavaglade/internal/work/graph"
 )
 
-// StoredJobs looks up jobs in the table in which the system stores them. The job's spec
-// says how its tasks run: {"runMillis": 200, "fail": true}. Without runMillis a task
-// runs for its estimate.
+// StoredJobs looks up jobs in the table in which the system stores them; a row that is
+// missing or malformed is no job. The job's spec says how its tasks run: {"runMillis":
+// 200, "fail": true}. Without runMillis a task runs for its estimate.
 func StoredJobs(t *rows.Table) pool.Lookup {
 	return func(id graph.JobID) (*graph.Job, pool.Behaviour) {
 		row := t.Get(dispatcher.JobKey(dispatch.PartitionOf(id, dispatcher.Partitions), id))
@@ -31,6 +31,8 @@
 // defaultWork is how long a task runs that has neither runMillis nor an estimate.
 const defaultWork = time.Second
 
+// specBehaviour returns how the tasks of a job run according to its spec, as StoredJobs
+// describes.
 func specBehaviour(j *graph.Job) pool.Behaviour {
 	var spec struct {
 		RunMillis int64 `json:"runMillis"`
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -76,7 +76,8 @@
 // WithLog sets the logger of all hosts, by default none.
 func WithLog(l logr.Logger) Option { return func(s *Site) { s.log = l } }
 
-// Start starts a site. The caller must call Stop.
+// Start starts a site. If a host cannot be started, those started before it are stopped.
+// Otherwise the caller must call Stop.
 func Start(ports PortsFunc, opts ...Option) (*Site, error) {
 	s := &Site{ports: ports, perZone: 2, log: logr.Discard()}
 	for _, o := range opts {
@@ -92,6 +93,8 @@
 	return s, nil
 }
 
+// start starts host i on free ports. The settings are created twice, since the ports are
+// known only once the host listens.
 func (s *Site) start(i int) (*Host, error) {
 	zone := Zones[i%len(Zones)]
 	cfg, err := settings.New(zone, loopback+":0", loopback+":0", noPlatform, s.settings...)
@@ -134,7 +137,8 @@
 	return list
 }
 
-// Stop stops all hosts as planned and waits for their ends.
+// Stop stops all hosts as planned, at the same time, and waits for their ends. Hosts
+// that have stopped already are no fault.
 func (s *Site) Stop() error {
 	for _, h := range s.hosts {
 		h.Stop()
