--- a/internal/report/burn/burn_test.go
+++ b/internal/report/burn/burn_test.go
@@ -24,6 +24,7 @@
 	}
 )
 
+// recorder returns a recorder with the objectives of the tests.
 func recorder(host string) *burn.Recorder {
 	r := burn.New(host)
 	r.SetObjectives(objectives)
@@ -54,6 +55,7 @@
 	return r
 }
 
+// Each form of the morning report is compared with a golden file.
 func TestReportIsWrittenAsTextJSONAndSVG(t *testing.T) {
 	is := is.New(t)
 	r := morningReport(t)
@@ -101,6 +103,8 @@
 	return good, bad, rate
 }
 
+// Three hosts record requests that are random by seed. Their merged snapshots must give
+// the burn rates and counts of the reference implementation.
 func TestReportMatchesReference(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		hosts := []*burn.Recorder{recorder("a"), recorder("b"), recorder("c")}
@@ -134,6 +138,7 @@
 	})
 }
 
+// encodeAndDecode passes a snapshot through JSON, as between hosts.
 func encodeAndDecode(t interface{ Fatal(...any) }, s burn.Snapshot) burn.Snapshot {
 	body, err := json.Marshal(s)
 	if err != nil {
@@ -146,6 +151,7 @@
 	return got
 }
 
+// checkLine compares the counts and rates of a line with the reference.
 func checkLine(t *rapid.T, l burn.Line, requests []request, now time.Time) {
 	account := -1
 	if l.Account != "" {
@@ -173,6 +179,8 @@
 	}
 }
 
+// Bad requests in one range of minutes raise an alert only if both windows of a pair
+// burn above the threshold.
 func TestAlertNeedsBothWindows(t *testing.T) {
 	cases := []struct {
 		name              string
@@ -200,6 +208,8 @@
 	}
 }
 
+// A snapshot of a host that is already counted, or with a negative count, is an error
+// and leaves the merged snapshot without it.
 func TestMergeSkipsInvalidSnapshots(t *testing.T) {
 	is := is.New(t)
 	r := recorder("a")
--- a/internal/report/burn/plot.go
+++ b/internal/report/burn/plot.go
@@ -79,6 +79,7 @@
 	return xys
 }
 
+// addLine adds a line to the plot and its name to the legend.
 func addLine(p *plot.Plot, name string, xys plotter.XYs, color int, dashes []vg.Length) error {
 	line, err := plotter.NewLine(xys)
 	if err != nil {
--- a/internal/report/burn/recorder.go
+++ b/internal/report/burn/recorder.go
@@ -56,7 +56,8 @@
 	s.record(latency, ok && (o.Target == 0 || o.Within == 0 || latency <= o.Within), at)
 }
 
-// seriesOf returns the series of a key, nil if MaxSeries is reached.
+// seriesOf returns the series of a key, a new one if there is none yet, or nil if
+// MaxSeries is reached.
 //
 // The limit keeps memory from growing without bound when many configurations each add
 // accounts. Series without a request in the longest window are evicted for new ones.
@@ -79,7 +80,8 @@
 	return s
 }
 
-// Snapshot returns the counts of the longest window that ends at now.
+// Snapshot returns the counts of the longest window that ends at now, without the series
+// that have no requests in it.
 func (r *Recorder) Snapshot(now time.Time) Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/report/burn/report.go
+++ b/internal/report/burn/report.go
@@ -86,7 +86,8 @@
 }
 
 // Report computes the report at the given time. It returns an error if the snapshot has
-// counts or latencies that are out of range.
+// counts or latencies that are out of range. The snapshot's series must be sorted, as
+// Snapshot and Merge return them.
 func (s Snapshot) Report(now time.Time, objectives Objectives) (Report, error) {
 	if err := s.check(nil); err != nil {
 		return Report{}, fmt.Errorf("burn report: %w", err)
@@ -120,6 +121,7 @@
 	return lines
 }
 
+// lineOf returns the line for the counts of one or all accounts of a service.
 func lineOf(key seriesKey, s *sum, o catalog.Objective, now time.Time) Line {
 	minutes := s.sorted()
 	good, bad := count(minutes, longestWindow, now)
--- a/internal/report/burn/series.go
+++ b/internal/report/burn/series.go
@@ -54,8 +54,8 @@
 	return hdrhistogram.New(minLatencyMS, maxLatencyMS, latencyDigits)
 }
 
-// record counts one request. A request older than the ring is ignored, since a newer
-// minute may occupy its slot.
+// record counts one request. A request older than the ring is ignored if a newer minute
+// occupies its slot.
 func (s *series) record(latency time.Duration, good bool, at time.Time) {
 	minute := minuteOf(at)
 	if minute < 0 {
@@ -87,6 +87,8 @@
 	return true
 }
 
+// recordLatency counts latencies in the histogram of their period, unless a newer period
+// occupies its slot. Latencies out of range are counted as the nearest bound.
 func (s *series) recordLatency(ms, count int64, at time.Time) {
 	period := periodOf(at)
 	slot := &s.latencies[period%histogramsKept]
@@ -100,6 +102,8 @@
 	_ = slot.histogram.RecordValues(ms, count) // in range, so no error
 }
 
+// snapshot returns the counts of the longest window that ends at now, and the latencies
+// of the last histogramsKept periods.
 func (s *series) snapshot(key seriesKey, now time.Time) Series {
 	out := Series{Service: key.service, Account: key.account}
 	for m := minuteOf(now) - ringMinutes + 1; m <= minuteOf(now); m++ {
--- a/internal/report/burn/write.go
+++ b/internal/report/burn/write.go
@@ -32,6 +32,7 @@
 	return nil
 }
 
+// cells returns the line's columns in the order of the table's head.
 func (l Line) cells() []string {
 	account := l.Account
 	if account == "" {
