--- a/internal/report/linelog/writer.go
+++ b/internal/report/linelog/writer.go
@@ -20,7 +20,8 @@
 	FlushInterval = 100 * time.Millisecond
 )
 
-// Writer is an io.Writer whose Write never blocks. Each Write is one line.
+// Writer is an io.Writer whose Write never blocks. Each Write must be one line with its
+// line end.
 type Writer struct {
 	out     io.Writer
 	mu      sync.Mutex
@@ -59,6 +60,7 @@
 	return w.total
 }
 
+// run flushes at most MaxRate until Close, then everything that is pending.
 func (w *Writer) run() {
 	defer close(w.done)
 	tick := time.NewTicker(FlushInterval)
@@ -74,7 +76,9 @@
 	}
 }
 
-// flush writes pending lines up to the one that reaches limit bytes.
+// flush writes pending lines up to the one that reaches limit bytes, and a line with the
+// number of those dropped since the last flush, if any. Errors of the output are
+// ignored.
 func (w *Writer) flush(limit int) {
 	w.mu.Lock()
 	n := wholeLines(w.buf, limit)
@@ -102,7 +106,8 @@
 	return len(lines)
 }
 
-// Close writes the pending lines and stops the writer.
+// Close writes the pending lines and stops the writer. It blocks while the output does.
+// It must be called once; lines written afterwards are lost.
 func (w *Writer) Close() {
 	close(w.stop)
 	<-w.done
