--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -24,8 +24,8 @@
 // MaxResponseBytes is the most that is read of a response.
 const MaxResponseBytes = 64 << 20
 
-// Client calls hosts with a key. A call goes to the first host that accepts the
-// connection, as it would behind a load balancer.
+// Client calls hosts with a key. A call is sent to the hosts in turn until one responds,
+// also with an error, so a request whose response was lost can reach a second host.
 type Client struct {
 	bases []string // http://IP:port
 	key   string
@@ -60,7 +60,8 @@
 	return s
 }
 
-// Submit submits a job and waits up to wait for its end; 0 does not wait.
+// Submit submits a job and waits up to wait for its end; 0 does not wait. Submitting the
+// same request id again refers to the same job.
 func (c *Client) Submit(ctx context.Context, r request.Request, wait time.Duration) (api.JobView, error) {
 	var v api.JobView
 	err := c.do(ctx, http.MethodPost, "/v1/jobs?wait="+wait.String(), r, &v)
@@ -88,7 +89,7 @@
 	return s, err
 }
 
-// Cancel cancels a job.
+// Cancel cancels a job. It does not wait for its tasks to stop.
 func (c *Client) Cancel(ctx context.Context, id string) error {
 	return c.do(ctx, http.MethodDelete, "/v1/jobs/"+url.PathEscape(id), nil, &struct{}{})
 }
@@ -100,7 +101,8 @@
 	return v, err
 }
 
-// Apply makes a configuration text current that is based on a version.
+// Apply makes a configuration text current that is based on a version. If the response
+// is lost, the same change id must be used again.
 func (c *Client) Apply(ctx context.Context, base int64, change, text string) (api.ConfigurationView, error) {
 	body := struct {
 		Base   int64  `json:"base"`
@@ -115,8 +117,9 @@
 // maxChangeAttempts bounds the attempts at a change that conflicts with other changes.
 const maxChangeAttempts = 5
 
-// SetEvacuated sets in the configuration text whether a zone is evacuated. It returns the
-// version that says so; unchanged reports that the version in force already did.
+// SetEvacuated sets in the configuration text whether a zone is evacuated. It returns
+// the version that says so; unchanged reports that the version in force already did. It
+// tries again, up to maxChangeAttempts times in total, if another change comes first.
 func (c *Client) SetEvacuated(ctx context.Context, zone string, on bool) (v api.ConfigurationView, unchanged bool, err error) {
 	for range maxChangeAttempts {
 		if v, err = c.Configuration(ctx); err != nil {
@@ -135,7 +138,8 @@
 	return v, false, err
 }
 
-// InForce returns the configuration version in force on each host.
+// InForce returns the configuration version in force on each host, as the leader knows
+// it.
 func (c *Client) InForce(ctx context.Context) ([]view.InForce, error) {
 	var rows []view.InForce
 	err := c.do(ctx, http.MethodGet, "/v1/inforce", nil, &rows)
@@ -156,6 +160,8 @@
 	return r, err
 }
 
+// do sends a request with the body as JSON, none if it is nil, to the hosts in turn. It
+// decodes the first response into result; an error response is an *Error.
 func (c *Client) do(ctx context.Context, method, path string, body, result any) error {
 	var value []byte
 	if body != nil {
@@ -176,6 +182,7 @@
 	return last
 }
 
+// send sends one request with the key. The caller must close the body of the response.
 func (c *Client) send(ctx context.Context, method, address string, value []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(value))
 	if err != nil {
@@ -185,6 +192,8 @@
 	return c.http.Do(req)
 }
 
+// decodeResponse decodes a response and closes its body. An error status yields an
+// *Error if the body is a problem document.
 func decodeResponse(res *http.Response, base string, result any) error {
 	defer func() { _ = res.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(res.Body, MaxResponseBytes))
