--- a/internal/operator/command/check.go
+++ b/internal/operator/command/check.go
@@ -51,6 +51,8 @@
 	return errors.Join(failed...)
 }
 
+// report prints the result for one file. If the file has faults, the error lists them;
+// with --json they are printed instead.
 func (c *checkCommand) report(found checkResult) error {
 	if c.JSON {
 		if err := json.NewEncoder(c.out).Encode(found); err != nil {
@@ -69,6 +71,8 @@
 	return err
 }
 
+// checkFile checks a file as settings if it has a section [host], otherwise as a
+// configuration text. Faults are part of the result, not an error.
 func checkFile(file string) (checkResult, error) {
 	body, err := readFile(file)
 	if err != nil {
--- a/internal/operator/command/command_test.go
+++ b/internal/operator/command/command_test.go
@@ -12,6 +12,8 @@
 	"guavaglade.example/guavaglade/internal/operator/command"
 )
 
+// Each case is one command line. Its exit code and a part of both outputs must be as
+// given; errors begin with the name of the program.
 func TestExitCodes(t *testing.T) {
 	broken := filepath.Join(t.TempDir(), "broken.ini")
 	if err := os.WriteFile(broken, []byte("[service refill]\ncompletionWeight = much\n"), 0o600); err != nil {
--- a/internal/operator/command/configuration.go
+++ b/internal/operator/command/configuration.go
@@ -17,7 +17,8 @@
 	} `positional-args:"yes"`
 }
 
-// Execute makes a configuration text current.
+// Execute makes a configuration text current. Without --base it replaces the version that
+// is in force on the host when it runs.
 func (c *applyCommand) Execute([]string) error {
 	body, err := readFile(c.Args.File)
 	if err != nil {
--- a/internal/operator/command/demo.go
+++ b/internal/operator/command/demo.go
@@ -12,6 +12,7 @@
 
 const demoTimeout = 28 * time.Second
 
+// runDemo runs the demo, for at most demoTimeout. The hosts log only if verbose is set.
 func runDemo(s streams, verbose bool) error {
 	log := logr.Discard()
 	if verbose {
--- a/internal/operator/command/evacuation.go
+++ b/internal/operator/command/evacuation.go
@@ -62,6 +62,7 @@
 	return fmt.Errorf("zone %s: no targets in this zone; known zones: %s; --empty evacuates it anyway", zone, strings.Join(others, ", "))
 }
 
+// setEvacuated evacuates or restores a zone and prints the version that says so.
 func (o hostOptions) setEvacuated(s streams, zone string, on bool) error {
 	ctx, cancel := o.context()
 	defer cancel()
--- a/internal/operator/command/host_options.go
+++ b/internal/operator/command/host_options.go
@@ -52,6 +52,7 @@
 	return client.New(hosts, o.Key, rt), nil
 }
 
+// context returns a context that ends after callTimeout.
 func (o hostOptions) context() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), callTimeout)
 }
@@ -68,6 +69,7 @@
 	return w.Flush()
 }
 
+// usageError returns an error for which the exit code is Usage.
 func usageError(format string, args ...any) error {
 	return &flags.Error{Type: flags.ErrRequired, Message: fmt.Sprintf(format, args...)}
 }
--- a/internal/operator/command/reports.go
+++ b/internal/operator/command/reports.go
@@ -51,7 +51,7 @@
 	SVG string `long:"svg" description:"write a plot of the burn rates to this file"`
 }
 
-// Execute prints the burn report of all hosts.
+// Execute prints the burn report of all hosts, and writes the plot if --svg names a file.
 func (c *reportCommand) Execute([]string) error {
 	ctx, cancel := c.context()
 	defer cancel()
@@ -74,6 +74,7 @@
 	return r.WriteText(c.out)
 }
 
+// writeFile creates or replaces a file with what write writes.
 func writeFile(file string, write func(io.Writer) error) error {
 	f, err := os.Create(file)
 	if err != nil {
--- a/internal/operator/command/serve.go
+++ b/internal/operator/command/serve.go
@@ -25,7 +25,8 @@
 	PrintSettings bool   `long:"print-settings" description:"print each setting in force with its default, and exit"`
 }
 
-// Execute runs the host until SIGTERM or SIGINT.
+// Execute runs the host until SIGTERM or SIGINT, and reloads the settings at SIGHUP. With
+// --print-settings it only prints them.
 func (c *serveCommand) Execute([]string) error {
 	s, err := settings.Load(c.Settings)
 	if err != nil {
