--- a/internal/operator/demo/demo.go
+++ b/internal/operator/demo/demo.go
@@ -57,7 +57,8 @@
 	duration time.Duration
 }
 
-// Run runs the demo and prints the outcome of each request.
+// Run runs the demo and prints the outcome of each request and, if all are as expected,
+// the burn report. Another outcome is an error.
 func Run(ctx context.Context, out io.Writer, log logr.Logger) error {
 	d, err := start(ctx, credential.NewKey(operatorKey).Hash(), log)
 	if err != nil {
@@ -82,6 +83,7 @@
 	return r.WriteText(out)
 }
 
+// runRequests applies the configuration and runs the scenarios one after another.
 func runRequests(ctx context.Context, d *deployment, out io.Writer) ([]outcome, error) {
 	if err := apply(ctx, d, out); err != nil {
 		return nil, err
@@ -169,8 +171,8 @@
 	return n
 }
 
-// awaitRunning waits until the wanted number of jobs is running. It returns false if the
-// context ends first.
+// awaitRunning waits until at least the wanted number of jobs is running. It returns
+// false if the context ends first. Errors of the calls are ignored.
 func awaitRunning(ctx context.Context, d *deployment, want int) bool {
 	c := client.New(d.hosts.CallerAddresses(0), operatorKey, nil)
 	for ctx.Err() == nil {
@@ -189,7 +191,8 @@
 	return false
 }
 
-// plannedStop stops the second host while callers wait there for their jobs.
+// plannedStop stops the second host while callers wait there for their jobs, which must
+// complete.
 func plannedStop(ctx context.Context, d *deployment) []outcome {
 	const callers = 8
 	done := make(chan []outcome)
@@ -238,7 +241,8 @@
 	return true
 }
 
-// submit submits a job to the hosts, beginning with the given one, and waits for its end.
+// submit submits a job to the hosts, beginning with the given one, and waits up to 20 s
+// for its end.
 func submit(ctx context.Context, d *deployment, first int, scenario, key, kind, id string, input []byte, want progress.State) outcome {
 	began := time.Now()
 	service, name, _ := strings.Cut(kind, ".")
@@ -254,13 +258,16 @@
 	})
 }
 
-// submitToHost submits jobs concurrently to one host.
+// submitToHost submits jobs of the first account concurrently, beginning with one host
+// for all of them. All must complete.
 func submitToHost(ctx context.Context, d *deployment, n, host int, scenario, kind string, input []byte) []outcome {
 	return runConcurrently(n, func(i int) outcome {
 		return submit(ctx, d, host, scenario, accountKey, kind, fmt.Sprintf("%s-at%d-%d", kind, host, i), input, progress.Completed)
 	})
 }
 
+// runConcurrently calls f with 0 to n-1, all at once, and returns the outcomes in that
+// order.
 func runConcurrently(n int, f func(i int) outcome) []outcome {
 	outcomes := make([]outcome, n)
 	var wg sync.WaitGroup
@@ -271,6 +278,8 @@
 	return outcomes
 }
 
+// printOutcomes prints a table of the outcomes. It returns an error if one of them is
+// not the expected one.
 func printOutcomes(out io.Writer, outcomes []outcome) error {
 	w := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "SCENARIO\tJOB\tSTATE\tTIME\tREMARK")
