--- a/internal/host/settings/settings_test.go
+++ b/internal/host/settings/settings_test.go
@@ -28,7 +28,7 @@
 maxWait = 90s
 `
 
-// Values of the text replace the defaults, and other values keep them.
+// Keys of the text replace the defaults; other keys have theirs.
 func TestParse(t *testing.T) {
 	is := is.New(t)
 	s, err := settings.Parse("host.ini", []byte(fullSettings))
