--- a/internal/standin/pool/target.go
+++ b/internal/standin/pool/target.go
@@ -19,12 +19,12 @@
 	stalled       bool    // tasks make no progress
 	speed         float64 // of tasks: 1 on a healthy target
 	failing       bool    // runs started now fail at once
-	highestToken  int64
-	leaseEnd      int64 // on the target's clock
+	highestToken  int64   // of the accepted orders
+	leaseEnd      int64   // on the target's clock
 	runs          map[order.Run]*execution
 	unackedEnds   []order.Ended
-	lastEnd       int64
-	acked         int64
+	lastEnd       int64                // number of the newest end
+	acked         int64                // highest acknowledged end number
 	staleThrough  map[graph.TaskID]int // highest run of each task that must not start any more
 	lapsedThrough int64                // highest end number when a lease last lapsed
 	starts        int
--- a/internal/standin/pool/transport.go
+++ b/internal/standin/pool/transport.go
@@ -141,8 +141,8 @@
 }
 
 // Poll implements order.Transport. It polls the pool every TickInterval, each time with
-// the delay and the faults, until the target lists an end or poll.Wait has passed. Only
-// the first of these polls renews the lease.
+// the delay and the faults, until the target lists an end, a poll fails or poll.Wait has
+// passed. Only the first of these polls renews the lease.
 func (t *Transport) Poll(ctx context.Context, to order.Address, poll order.Poll) (order.Report, error) {
 	t.mu.Lock()
 	t.polls++
