--- a/internal/standin/site/jobs.go
+++ b/internal/standin/site/jobs.go
@@ -12,8 +12,11 @@
 )
 
 // StoredJobs looks up jobs in the table in which the system stores them; a row that is
-// missing or malformed is no job. The job's spec says how its tasks run: {"runMillis":
-// 200, "fail": true}. Without runMillis a task runs for its estimate.
+// missing or malformed is no job. The job's spec says how its tasks run:
+//
+//	{"runMillis": 200, "fail": true}
+//
+// Without runMillis a task runs for its estimate.
 func StoredJobs(t *rows.Table) pool.Lookup {
 	return func(id graph.JobID) (*graph.Job, pool.Behaviour) {
 		row := t.Get(dispatcher.JobKey(dispatch.PartitionOf(id, dispatcher.Partitions), id))
