--- a/internal/report/burn/write.go
+++ b/internal/report/burn/write.go
@@ -59,6 +59,7 @@
 	return append(cells, alert)
 }
 
+// objective returns the service's objective in words, such as 99% in 10s.
 func (l Line) objective() string {
 	share := strconv.FormatFloat(100*l.Target, 'g', 6, 64)
 	if l.WithinMS == 0 {
