--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -102,7 +102,7 @@
 }
 
 // Apply makes a configuration text current that is based on a version. If the response
-// is lost, the same change id must be used again.
+// is lost, the call may be repeated with the same change id.
 func (c *Client) Apply(ctx context.Context, base int64, change, text string) (api.ConfigurationView, error) {
 	body := struct {
 		Base   int64  `json:"base"`
