--- a/internal/report/burn/write.go
+++ b/internal/report/burn/write.go
@@ -32,6 +32,7 @@
 	return nil
 }
 
+// cells returns the line's columns in the order of the table's head.
 func (l Line) cells() []string {
 	account := l.Account
 	if account == "" {
@@ -58,6 +59,7 @@
 	return append(cells, alert)
 }
 
+// objective returns the service's objective in words, such as 99% in 10s.
 func (l Line) objective() string {
 	share := strconv.FormatFloat(100*l.Target, 'g', 6, 64)
 	if l.WithinMS == 0 {
--- a/internal/standin/pool/target.go
+++ b/internal/standin/pool/target.go
@@ -19,12 +19,12 @@
 	stalled       bool    // tasks make no progress
 	speed         float64 // of tasks: 1 on a healthy target
 	failing       bool    // runs started now fail at once
-	highestToken  int64
-	leaseEnd      int64 // on the target's clock
+	highestToken  int64   // of the accepted orders
+	leaseEnd      int64   // on the target's clock
 	runs          map[order.Run]*execution
 	unackedEnds   []order.Ended
-	lastEnd       int64
-	acked         int64
+	lastEnd       int64                // number of the newest end
+	acked         int64                // highest acknowledged end number
 	staleThrough  map[graph.TaskID]int // highest run of each task that must not start any more
 	lapsedThrough int64                // highest end number when a lease last lapsed
 	starts        int
@@ -48,6 +48,8 @@
 	failsAtOnce  bool
 }
 
+// clock returns the target's clock in milliseconds. It does not begin at 0 and may be
+// slow.
 func (t *target) clock(now time.Time) int64 {
 	return 1000 + int64(float64(now.Sub(t.startedAt).Milliseconds())*t.clockRate)
 }
@@ -75,7 +77,8 @@
 	return list
 }
 
-// end removes a run and lists its end.
+// end removes a run and lists its end with its newest checkpoint. The run cannot start
+// on the target any more.
 func (t *target) end(x *execution, how order.EndReason) {
 	delete(t.runs, x.Run)
 	t.staleThrough[x.Task] = max(t.staleThrough[x.Task], x.Number)
