--- a/internal/fleet/evacuation/register.go
+++ b/internal/fleet/evacuation/register.go
@@ -18,7 +18,7 @@
 	return found
 }
 
-// With returns the status with the zones evacuated as well.
+// With returns the status with the zones evacuated as well. Its time stays the same.
 func (s Status) With(zones ...string) Status {
 	if len(zones) == 0 {
 		return s
@@ -28,7 +28,7 @@
 	return Status{Zones: slices.Compact(all), AsOf: s.AsOf}
 }
 
-// Equal reports whether both have the same zones evacuated.
+// Equal reports whether both have the same zones evacuated, whatever their times.
 func (s Status) Equal(o Status) bool { return slices.Equal(s.Zones, o.Zones) }
 
 // Register holds the current status. It is safe for use by one writer and any number of
@@ -48,7 +48,8 @@
 	return r.current
 }
 
-// Replace sets all evacuated zones, as read at asOf, and reports whether they changed.
+// Replace sets all evacuated zones, as read at asOf, and reports whether they changed. The
+// zones may be unsorted and have duplicates.
 func (r *Register) Replace(zones []string, asOf time.Time) (changed bool) {
 	next := Status{AsOf: asOf}.With(zones...)
 	r.mu.Lock()
@@ -64,9 +65,10 @@
 	Evacuated bool
 }
 
-// Apply applies all changes in order and reports whether the evacuated zones changed. The
-// status then includes all changes before asOf. Apply must not run concurrently with
-// another Apply or Replace, whose changes could be lost.
+// Apply applies all changes in order, so that the last one of a zone counts, and reports
+// whether the evacuated zones changed. The status then includes all changes before asOf.
+// Apply must not run concurrently with another Apply or Replace, whose changes could be
+// lost.
 func (r *Register) Apply(changes []Change, asOf time.Time) (changed bool) {
 	zones := slices.Clone(r.Current().Zones)
 	for _, c := range changes {
--- a/internal/fleet/evacuation/register_test.go
+++ b/internal/fleet/evacuation/register_test.go
@@ -13,6 +13,7 @@
 	"guavaglade.example/guavaglade/internal/proof/seeded"
 )
 
+// A status keeps its zones sorted and without duplicates; Equal ignores the time.
 func TestStatus(t *testing.T) {
 	is := is.New(t)
 	s := evacuation.Status{}.With("leon", "celaya").With("leon")
@@ -22,8 +23,8 @@
 	is.True(s.Equal(evacuation.Status{Zones: []string{"celaya", "leon"}, AsOf: time.Unix(1, 0)}))
 }
 
-// The register holds the same zones as a plain set after any mix of single changes and
-// replacements.
+// The register holds the same zones as a plain set, and the time of the last step, after
+// each step of a random mix of lists of changes and replacements.
 func TestRegisterMatchesSet(t *testing.T) {
 	seeded.Check(t, func(t *rapid.T) {
 		r, want := evacuation.NewRegister(), map[string]bool{}
