--- a/internal/fleet/health/record.go
+++ b/internal/fleet/health/record.go
@@ -43,7 +43,7 @@
 	lastFaultAt time.Time // time of the last evidence against the target
 	provenAt    time.Time // start of the latest run that was healthy evidence
 	onProbation bool      // was quarantined, and no run begun since was healthy evidence
-	speed       float64   // relative to healthy targets; 0: unknown
+	speed       float64   // moving average, relative to healthy targets; 0: unknown
 	speedAt     time.Time
 	slowSince   time.Time // zero: not slow
 }
@@ -63,7 +63,8 @@
 	r.updatedAt = now
 }
 
-// addFault adds evidence against the target.
+// addFault adds evidence against the target, and puts it on probation if that quarantines
+// it.
 func (r *Record) addFault(weight float64, now time.Time) {
 	r.add(weight, now)
 	r.lastFaultAt = now
@@ -100,7 +101,7 @@
 
 // ObserveSuccess records that a run succeeded on the target. It ignores a run that began
 // before the last fault: a target that fails everything it starts keeps running what it
-// started before.
+// started before. Otherwise it also ends the target's probation.
 func (r *Record) ObserveSuccess(began, now time.Time) {
 	if began.Before(r.lastFaultAt) {
 		return
@@ -126,8 +127,8 @@
 // ProvenSince reports whether a run that began after the given time was healthy evidence.
 func (r *Record) ProvenSince(at time.Time) bool { return r.provenAt.After(at) }
 
-// OnProbation reports whether the target was quarantined a short while ago and has not
-// had a successful run since. Such a target should get one run at a time.
+// OnProbation reports whether the target was quarantined, no run begun after its last fault
+// was healthy evidence, and it is still suspect. Such a target should get one run at a time.
 func (r *Record) OnProbation(now time.Time) bool { return r.onProbation && r.Suspect(now) }
 
 // odds returns the odds that the target is unhealthy.
@@ -159,7 +160,8 @@
 )
 
 // ObserveSpeed records the speed of a run on the target: the work done, by its estimate,
-// divided by the time taken. It ignores speeds that are not positive and finite.
+// divided by the time taken. It ignores speeds that are not positive and finite. A speed
+// measured more than speedMaxAge after the previous one replaces the average.
 func (r *Record) ObserveSpeed(speed float64, now time.Time) {
 	if speed <= 0 || math.IsInf(speed, 0) || math.IsNaN(speed) {
 		return
@@ -178,7 +180,9 @@
 	}
 }
 
-// SlowFor returns how long the target has been slow, or 0 if it is not.
+// SlowFor returns how long the target has been slow, or 0 if it is not. The time counts
+// from the first slow average after the last that was not, also if there was a time without
+// measurements between.
 func (r *Record) SlowFor(now time.Time) time.Duration {
 	if !r.Slow(now) {
 		return 0
@@ -186,7 +190,8 @@
 	return now.Sub(r.slowSince)
 }
 
-// Slow reports whether tasks run slowly on the target.
+// Slow reports whether tasks run slowly on the target. It is false if no speed was measured
+// within speedMaxAge.
 func (r *Record) Slow(now time.Time) bool {
 	return r.speed > 0 && r.speed < slowSpeed && now.Sub(r.speedAt) <= speedMaxAge
 }
--- a/internal/fleet/health/record_test.go
+++ b/internal/fleet/health/record_test.go
@@ -50,7 +50,7 @@
 	is.True(r.Quarantined(begin))
 }
 
-// Faults are transient: a quarantined target gets work again after a while.
+// Faults are transient: a quarantined target is no longer so after a while without faults.
 func TestEvidenceDecays(t *testing.T) {
 	is := is.New(t)
 	var r Record
@@ -61,7 +61,7 @@
 	is.True(!r.Quarantined(begin.Add(12 * time.Second)))
 }
 
-// A stall weighs more than a failure.
+// A stall weighs more than a failure: a single one quarantines the target.
 func TestStall(t *testing.T) {
 	is := is.New(t)
 	var r Record
@@ -69,6 +69,8 @@
 	is.True(r.Quarantined(begin))
 }
 
+// A target is slow after a slow run, until a fast one or until the measurement is too old.
+// A speed of 0 is ignored.
 func TestSpeed(t *testing.T) {
 	is := is.New(t)
 	var r Record
