--- a/internal/fleet/limiter/limit.go
+++ b/internal/fleet/limiter/limit.go
@@ -34,8 +34,9 @@
 
 func newLimit() limit { return limit{size: initialLimit} }
 
-// observe adjusts the limit to the delay of an answer. The limit grows only if it was
-// busy, that is, reached: answers below it do not show that the host can carry more.
+// observe adjusts the limit to the delay of an answer. The limit shrinks if the queueing
+// delay is above targetQueueDelay. It grows if the delay is below and the limit was busy,
+// that is, reached: answers below it do not show that the host can carry more.
 func (l *limit) observe(delay time.Duration, busy bool, now time.Time) {
 	l.updateBase(delay, now)
 	off := float64(targetQueueDelay-(delay-l.base)) / float64(targetQueueDelay)
@@ -46,7 +47,7 @@
 	l.size = min(max(l.size, minLimit), maxLimit)
 }
 
-// updateBase tracks the minimum delay.
+// updateBase tracks the minimum delay over one to two windows.
 func (l *limit) updateBase(delay time.Duration, now time.Time) {
 	if !now.Before(l.windowEnd) {
 		l.base, l.nextBase, l.windowEnd = l.nextBase, 0, now.Add(baseWindow)
--- a/internal/fleet/limiter/limit_test.go
+++ b/internal/fleet/limiter/limit_test.go
@@ -15,8 +15,8 @@
 	serviceTime time.Duration // of one order
 }
 
-// settle returns the size of a limit, and the resulting delay, after it was in full use
-// for a span of time.
+// settle returns the size of a limit, and the resulting delay, after it was in full use on
+// the link for a span of time.
 func (k link) settle(l limit, span time.Duration) (size float64, delay time.Duration) {
 	now := start
 	l.observe(k.delay, false, now) // before there was a queue
@@ -74,7 +74,7 @@
 	is.Equal(l.size, float64(initialLimit))
 }
 
-// The timeout is minimal at usual delays, grows with them, and is bounded.
+// The timeout of orders is minimal at usual delays, grows with them, and is bounded.
 func TestTimeout(t *testing.T) {
 	is := is.New(t)
 	var d delayEstimate
@@ -93,7 +93,7 @@
 	is.Equal(d.timeout(), maxTimeout)
 }
 
-// Throughput is measured only while orders wait.
+// The rate approaches the throughput while orders wait, and does not change while none does.
 func TestRate(t *testing.T) {
 	is := is.New(t)
 	r := rate{perSecond: initialRate}
--- a/internal/fleet/limiter/limiter.go
+++ b/internal/fleet/limiter/limiter.go
@@ -17,7 +17,7 @@
 	Report                   // polls that do not wait for an end: first ones, acknowledgements
 	Start                    // other starts
 	Probe                    // orders to targets that do not answer
-	classes
+	classes                  // number of classes
 )
 
 // Parameters of the queue of orders.
@@ -41,7 +41,7 @@
 // Limiter limits the number of orders in flight. It is safe for concurrent use.
 type Limiter struct {
 	clock    func() time.Time
-	mu       sync.Mutex
+	mu       sync.Mutex // held by the callers of queuedThrough, admit, newInFlight and release
 	limit    limit
 	delays   delayEstimate
 	latency  delayEstimate // from the arrival of orders to their answers
@@ -63,8 +63,9 @@
 	return &Limiter{clock: clock, limit: newLimit(), rate: rate{perSecond: initialRate}}
 }
 
-// Acquire waits until an order of the class may be sent. The caller must call Done when
-// the order was answered or given up. Acquire fails only if ctx ends.
+// Acquire waits until an order of the class may be sent: until the limit is not reached and
+// no order of the class or a higher one waits, or until admit selects it. The caller must
+// call Done when the order was answered or given up. Acquire fails only if ctx ends.
 func (l *Limiter) Acquire(ctx context.Context, c Class) (*InFlight, error) {
 	l.mu.Lock()
 	if l.inFlight < int(l.limit.size) && l.queuedThrough(c) == 0 {
@@ -86,7 +87,8 @@
 	}
 }
 
-// cancel removes a waiter whose context has ended.
+// cancel removes a waiter whose context has ended. If it was admitted in the meantime, its
+// place goes to another.
 func (l *Limiter) cancel(c Class, w *waiter) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,14 +148,16 @@
 	return best
 }
 
-// Timeout returns how long to wait for the answer to an order.
+// Timeout returns how long to wait for the answer to an order, by the delays measured so
+// far.
 func (l *Limiter) Timeout() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.delays.timeout()
 }
 
-// MeanLatency returns the mean time from Acquire to the answer of an order.
+// MeanLatency returns the smoothed time from the call of Acquire to the answer, of the
+// orders that were answered; 0 before the first.
 func (l *Limiter) MeanLatency() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -200,20 +204,24 @@
 	released  bool // no longer counts against the limit
 }
 
-// newInFlight returns an order that arrived at the given time and is sent now.
+// newInFlight returns an order that arrived at the given time and is sent now, and starts
+// the timer of its expiry. The order has been counted in inFlight already.
 func (l *Limiter) newInFlight(arrivedAt time.Time) *InFlight {
 	f := &InFlight{limiter: l, arrivedAt: arrivedAt, sentAt: l.clock()}
 	f.timer = time.AfterFunc(max(expiryDelays*l.delays.mean, minExpiry), f.expire)
 	return f
 }
 
-// expire releases an order that has not been answered within its expiry.
+// expire releases an order that has not been answered within its expiry. Its answer may
+// still come and be measured.
 func (f *InFlight) expire() {
 	f.limiter.mu.Lock()
 	defer f.limiter.mu.Unlock()
 	f.release()
 }
 
+// release stops counting the order against the limit and admits waiting orders. It does
+// nothing if the order was released before.
 func (f *InFlight) release() {
 	if f.released {
 		return
@@ -223,8 +231,9 @@
 	f.limiter.admit()
 }
 
-// Done ends the order. Only an answered order counts as a measurement of delay: a missing
-// answer may be the target's fault.
+// Done ends the order and admits waiting ones, unless it had expired before. Only an
+// answered order counts as a measurement of delay: a missing answer may be the target's
+// fault.
 func (f *InFlight) Done(answered bool) {
 	l := f.limiter
 	f.timer.Stop()
--- a/internal/fleet/limiter/limiter_test.go
+++ b/internal/fleet/limiter/limiter_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// fill acquires the whole limit.
+// fill acquires the whole limit of a new limiter.
 func fill(t *testing.T, l *Limiter) []*InFlight {
 	var list []*InFlight
 	for range initialLimit {
@@ -23,7 +23,8 @@
 	return list
 }
 
-// queue makes an order of the class wait and sends its name when it is admitted.
+// queue makes an order of the class wait and sends its name when it is admitted. It is in
+// flight for a millisecond then.
 func queue(ctx context.Context, l *Limiter, c Class, name string, admitted chan<- string) {
 	go func() {
 		f, err := l.Acquire(ctx, c)
@@ -37,7 +38,8 @@
 	synctest.Wait()
 }
 
-// Starts must not wait for targets that do not answer, nor reports for starts.
+// Waiting orders are admitted by class, not by arrival: starts must not wait for targets
+// that do not answer, nor reports for starts.
 func TestClassesInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/fleet/limiter/rate.go
+++ b/internal/fleet/limiter/rate.go
@@ -19,7 +19,9 @@
 	windowStart time.Time // zero: nothing waits
 }
 
-// observe counts an answer. waiting says whether other orders wait.
+// observe counts an answer; waiting says whether other orders wait. The first answer with
+// others waiting opens a window. Without others waiting, the window is dropped and perSecond
+// stays as it is.
 func (r *rate) observe(waiting bool, now time.Time) {
 	if !waiting {
 		r.windowStart = time.Time{} // without a queue the throughput is not reached
