--- a/internal/fleet/order/advice.go
+++ b/internal/fleet/order/advice.go
@@ -15,7 +15,8 @@
 
 // Adviser decides which targets may run a step of a queue whose policy restricts them.
 type Adviser interface {
-	// Advise returns a permit for each of the targets that may run the step, and how
-	// long the tickets are valid from when they were issued.
+	// Advise returns a permit for each of the targets, given by the IDs of their
+	// incarnations, that may run the step, and how long the tickets are valid from when
+	// they were issued.
 	Advise(ctx context.Context, step graph.StepID, targets []string) ([]Permit, time.Duration, error)
 }
--- a/internal/fleet/order/instrumented.go
+++ b/internal/fleet/order/instrumented.go
@@ -10,7 +10,8 @@
 	"guavaglade.example/guavaglade/internal/report/metrics"
 )
 
-// outcomes maps the values of the outcome label to the errors they count.
+// outcomes maps the values of the outcome label to the errors they count. ErrWithheld has
+// none, since such an order does not reach the transport.
 var outcomes = map[string]error{
 	"fenced": ErrFenced, "staleRun": ErrStaleRun, "late": ErrLate, "noRoom": ErrNoCapacity, "noTicket": ErrNoTicket, "invalid": ErrInvalid,
 	"unhealthy": ErrUnhealthy, "otherLife": ErrOtherIncarnation, "unreached": ErrUnreached, "unanswered": ErrUnanswered,
@@ -22,13 +23,15 @@
 	orders map[string]*orderMetrics
 }
 
+// orderMetrics holds the metrics of one kind of order.
 type orderMetrics struct {
 	ok      tally.Counter
-	failed  map[string]tally.Counter
+	failed  map[string]tally.Counter // by the value of the outcome label
 	latency tally.Histogram
 }
 
-// NewInstrumented returns a transport that reports metrics to a scope.
+// NewInstrumented returns a transport that reports metrics to a scope. The metrics of polls
+// have the order label hold.
 func NewInstrumented(t Transport, scope tally.Scope) *Instrumented {
 	i := &Instrumented{Transport: t, orders: map[string]*orderMetrics{}}
 	for _, order := range []string{"start", "stop", "hold", "pace"} {
@@ -45,6 +48,8 @@
 	return i
 }
 
+// observe records the latency of an order that began at a time, and counts its outcome. An
+// error that is none of outcomes is not counted.
 func (m *orderMetrics) observe(began time.Time, err error) {
 	m.latency.RecordDuration(time.Since(began))
 	if err == nil {
--- a/internal/fleet/order/order.go
+++ b/internal/fleet/order/order.go
@@ -50,7 +50,7 @@
 type Poll struct {
 	Term     int64
 	Acked    int64         // ends up to this number are forgotten
-	Deadline int64         // milliseconds on the target's clock; 0: no renewal
+	Deadline int64         // of the lease, in milliseconds on the target's clock; 0: no renewal
 	Wait     time.Duration // for an end, before the target answers
 }
 
@@ -90,9 +90,10 @@
 	Ended   []Ended // by number; may be truncated, the rest follows after an acknowledgement
 }
 
-// Transport sends orders to targets. Its errors wrap one of the package's errors and
-// name the order and the target. A returned clock is the target's, or 0 if the answer had
-// none.
+// Transport sends orders to targets and waits for their answers. Its errors wrap one of
+// the package's errors and name the order and the target. A returned clock is the
+// target's, or 0 if the answer had none. Pace has a best-effort run work at a percentage
+// of its speed.
 type Transport interface {
 	Start(ctx context.Context, to Address, s Start) (clock int64, err error)
 	Stop(ctx context.Context, to Address, r Run, term int64) (clock int64, err error)
