--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -25,7 +25,8 @@
 	return label == "" || slices.Contains(t.Labels, label)
 }
 
-// Same reports whether the targets are equal but for the remaining times.
+// Same reports whether the targets are equal but for RemainingMS and ColdRemainingMS. The
+// order of labels matters.
 func (t *Target) Same(o *Target) bool {
 	return t.ID == o.ID && t.Address == o.Address && t.Zone == o.Zone && t.Service == o.Service &&
 		t.Capacity == o.Capacity && t.Rack == o.Rack && t.Draining == o.Draining && slices.Equal(t.Labels, o.Labels)
