--- a/internal/fleet/shape/packing.go
+++ b/internal/fleet/shape/packing.go
@@ -35,7 +35,8 @@
 	return z
 }
 
-// CheckFit returns an error if a gang of the shape does not fit into the free capacity.
+// CheckFit returns an error if a gang of the shape does not fit into the zone's free
+// capacity. It reserves nothing.
 func (z *Zone) CheckFit(s Shape) error {
 	if _, ok := z.place(s); !ok {
 		return fmt.Errorf("no capacity for %s: %d accelerators, %d cores and %d MB for each member", s, s.accelerators, s.cores, s.memory)
@@ -81,8 +82,8 @@
 	return 0
 }
 
-// place returns how many members of a gang to put on each worker, by index, and whether
-// the gang fits.
+// place returns how many members of a gang to put on each worker, by index in the zone, and
+// whether the gang fits. It reserves nothing.
 func (z *Zone) place(s Shape) (map[int]int, bool) {
 	switch s.adjacency {
 	case SameWorker:
@@ -93,8 +94,9 @@
 	return z.fill(s, func(int) string { return "" })
 }
 
-// fill places a gang on the workers of one group, by best fit: the group, and within it
-// the workers, with the fewest free accelerators.
+// fill returns the placement of a gang on the workers of one group, and whether it fits. It
+// takes the group with the fewest free accelerators into which the whole gang fits, and
+// fills its workers from the one with the fewest free accelerators.
 func (z *Zone) fill(s Shape, group func(i int) string) (map[int]int, bool) {
 	order := make([]int, len(z.workers))
 	fits, left := map[string]int{}, map[string]int{}
@@ -124,7 +126,7 @@
 	return at, placed == s.members
 }
 
-// members returns how many members of the shape fit on the worker.
+// members returns how many members of the shape fit into the worker's free capacity.
 func (w freeWorker) members(s Shape) int {
 	n := w.free.Slots
 	if s.accelerators > 0 {
@@ -139,7 +141,8 @@
 	return max(n, 0)
 }
 
-// reserve subtracts the resources of a placed gang from the free capacity.
+// reserve subtracts the resources of a gang that is placed as place returned it from the
+// workers' free capacity.
 func (z *Zone) reserve(s Shape, at map[int]int) {
 	for i, n := range at {
 		f := &z.workers[i].free
--- a/internal/fleet/shape/packing_test.go
+++ b/internal/fleet/shape/packing_test.go
@@ -10,6 +10,7 @@
 	"guavaglade.example/guavaglade/internal/proof/seeded"
 )
 
+// workers returns workers of 64 cores, 256 GB and 8 slots each.
 func workers(racks, perRack, accelerators int) []Worker {
 	var list []Worker
 	for r := range racks {
@@ -20,6 +21,7 @@
 	return list
 }
 
+// newShape returns a shape whose members need one core and 1024 MB each.
 func newShape(t interface{ Fatal(args ...any) }, members, accelerators int, a Adjacency) Shape {
 	s, err := New(members, accelerators, 1, 1024, a)
 	if err != nil {
@@ -53,7 +55,8 @@
 	is.NoErr(z.CheckFit(newShape(t, 4, 8, Any))) // Pack has reserved nothing
 }
 
-// A set of guarantees that packs never needs more accelerators than the zone has.
+// A random set of guarantees that packs into a zone of random size never needs more
+// accelerators than the zone has.
 func TestPackNeverOvercommits(t *testing.T) {
 	seeded.Check(t, func(rt *rapid.T) {
 		list := workers(rapid.IntRange(1, 3).Draw(rt, "racks"), rapid.IntRange(1, 4).Draw(rt, "workers"), 8)
--- a/internal/fleet/shape/shape.go
+++ b/internal/fleet/shape/shape.go
@@ -23,7 +23,7 @@
 	Count   int // at least 1
 }
 
-// String returns the guarantee as account and count x (shape).
+// String returns the guarantee as ACCOUNT COUNTx(SHAPE).
 func (g Guarantee) String() string { return fmt.Sprintf("%s %dx(%s)", g.Account, g.Count, g.Shape) }
 
 // MaxAccelerators is the largest number of accelerators of one worker.
@@ -81,7 +81,8 @@
 // Total returns the accelerators of all members together.
 func (s Shape) Total() int { return s.members * s.accelerators }
 
-// String returns the shape as members x accelerators with its adjacency.
+// String returns the shape as MEMBERSxACCELERATORS/ADJACENCY, the accelerators those of
+// each member.
 func (s Shape) String() string {
 	return fmt.Sprintf("%dx%d/%s", s.members, s.accelerators, s.adjacency)
 }
--- a/internal/fleet/shape/shape_test.go
+++ b/internal/fleet/shape/shape_test.go
@@ -8,6 +8,7 @@
 	"guavaglade.example/guavaglade/internal/fleet/shape"
 )
 
+// New refuses a shape with a property that is out of bounds or unknown.
 func TestNewErrors(t *testing.T) {
 	cases := []struct {
 		name                                 string
