--- a/internal/work/graph/graph_test.go
+++ b/internal/work/graph/graph_test.go
@@ -16,6 +16,7 @@
 
 const id = graph.JobID("00112233445566aa")
 
+// validJob returns a job of two steps of one second, the second after the first.
 func validJob() *graph.Job {
 	step := graph.Step{Count: 2, Needs: graph.Resources{CPU: 100}, Estimate: time.Second}
 	after := step
@@ -58,6 +59,8 @@
 	return longest + j.Steps[step].Estimate
 }
 
+// The critical path of a random job of up to 7 steps is as long as the longest path that an
+// exhaustive search finds.
 func TestCriticalPathMatchesExhaustiveSearch(t *testing.T) {
 	seeded.Check(t, func(rt *rapid.T) {
 		j := &graph.Job{ID: id}
@@ -80,7 +83,8 @@
 	})
 }
 
-// Two texts never name the same task.
+// A text that parses is the one that the parsed id is written as, so that two texts never
+// name the same task.
 func FuzzParseTaskID(f *testing.F) {
 	for _, s := range []string{"00112233445566aa.0.0.1", "00112233445566aa.00.0.1", "x.0.0.0", "00112233445566aa.0.0.-1", "...", ""} {
 		f.Add(s)
--- a/internal/work/graph/job.go
+++ b/internal/work/graph/job.go
@@ -86,7 +86,7 @@
 	SlackFactor float64       `json:"slack,omitempty"`       // of the objective: multiple of the critical path
 	Allowance   time.Duration `json:"allowance,omitempty"`   // of the objective: added to that multiple
 	Spec        string        `json:"spec,omitempty"`        // passed to each task unchanged
-	Steps       []Step        `json:"steps"`                 //
+	Steps       []Step        `json:"steps"`                 // each depends on earlier ones only
 	FirstAt     int64         `json:"firstAt,omitempty"`     // time of occurrence 0, in milliseconds since 1970
 	Every       time.Duration `json:"every,omitempty"`       // interval between occurrences
 	Repeat      int           `json:"repeat,omitempty"`      // number of occurrences; 0: the job does not recur
@@ -129,8 +129,8 @@
 }
 
 // Validate returns an error that wraps ErrInvalid if the job cannot be accepted:
-// its id is malformed, it exceeds a limit, an amount is negative, or a step
-// depends on one that is not earlier in the list.
+// its id is malformed, it exceeds a limit, an amount is negative, or a step has no
+// tasks or depends on one that is not earlier in the list.
 func (j *Job) Validate() error {
 	switch {
 	case !j.ID.Valid():
@@ -155,6 +155,8 @@
 	return nil
 }
 
+// validate returns an error if the step, whose index in its job is own, has no or too many
+// tasks, a negative amount, or a dependency that is not an earlier step.
 func (s *Step) validate(own int) error {
 	if s.Count < 1 || s.Count > MaxTasks {
 		return fmt.Errorf("%d tasks", s.Count)
@@ -171,8 +173,8 @@
 	return nil
 }
 
-// CriticalPath returns the largest sum of estimates along a chain of dependent
-// steps.
+// CriticalPath returns the largest sum of estimates along a chain of dependent steps. A
+// step without an estimate counts as 0.
 func (j *Job) CriticalPath() time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	longest := time.Duration(0)
--- a/internal/work/graph/task.go
+++ b/internal/work/graph/task.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// JobID identifies a job. It comes from the client's request, so that submission
-// is idempotent.
+// JobID identifies a job. It is given by the client or derived from the client's request,
+// so that submission is idempotent.
 type JobID string
 
 // Valid reports whether the id is 16 hexadecimal digits.
