--- a/internal/work/progress/progress.go
+++ b/internal/work/progress/progress.go
@@ -24,9 +24,9 @@
 // Job is the durable progress of a job.
 type Job struct {
 	State   State            `json:"state"`
-	Ended   int64            `json:"ended,omitempty"` // when a final state was reached: milliseconds since 1970 on the leader's clock
-	Started bool             `json:"started,omitempty"`
-	Steps   map[string]*Step `json:"steps,omitempty"` // by OCCURRENCE.STEP; a step about which nothing is known is left out
+	Ended   int64            `json:"ended,omitempty"`   // when a final state was reached: milliseconds since 1970 on the leader's clock
+	Started bool             `json:"started,omitempty"` // a task has started
+	Steps   map[string]*Step `json:"steps,omitempty"`   // by OCCURRENCE.STEP; a step about which nothing is known is left out
 }
 
 // Encode encodes the progress as the value of a row.
--- a/internal/work/progress/progress_test.go
+++ b/internal/work/progress/progress_test.go
@@ -61,6 +61,7 @@
 	}
 }
 
+// Only the states that a job never leaves are final.
 func TestFinal(t *testing.T) {
 	is := is.New(t)
 	for s, final := range map[progress.State]bool{
@@ -71,6 +72,7 @@
 	}
 }
 
+// Decode returns either progress that can be encoded again or an error, whatever the row.
 func FuzzDecode(f *testing.F) {
 	for _, s := range []string{`{"state":"queued"}`, `{"state":"running","steps":{"0.0":{"done":3,"runs":{"0":1}}}}`, "null", "\x00"} {
 		f.Add([]byte(s))
--- a/internal/work/progress/step.go
+++ b/internal/work/progress/step.go
@@ -59,7 +59,8 @@
 // errMalformedPlacements means that a list of tasks and runs has an odd length.
 var errMalformedPlacements = errors.New("progress: placements are not pairs of task and run")
 
-// UnmarshalJSON implements json.Unmarshaler.
+// UnmarshalJSON implements json.Unmarshaler. It also reads the placements of rows that
+// earlier versions wrote, and sorts all placements.
 func (s *Step) UnmarshalJSON(b []byte) error {
 	var row stepRow
 	if err := json.Unmarshal(b, &row); err != nil {
