--- a/internal/work/request/request.go
+++ b/internal/work/request/request.go
@@ -28,7 +28,7 @@
 	ErrNotFound = errors.New("not in the configuration")
 )
 
-// requestIDPattern matches valid request ids.
+// requestIDPattern matches the request ids that clients may choose.
 var requestIDPattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,100}$`)
 
 // Request asks for one job.
@@ -39,15 +39,17 @@
 	Input     []byte `json:"input,omitempty"` // passed to each task, base64 on the wire
 }
 
-// JobID returns the id of the job for an account's request.
+// JobID returns the id of the job for an account's request, a hash of the account and the
+// request id.
 func JobID(account, requestID string) graph.JobID {
 	const half = 8 // bytes; 16 hexadecimal digits
 	sum := sha256.Sum256([]byte(strconv.Itoa(len(account)) + ":" + account + "/" + requestID))
 	return graph.JobID(hex.EncodeToString(sum[:half]))
 }
 
-// Resolve returns the job for an account's request that arrives at a time. The error
-// wraps ErrInvalid or ErrNotFound.
+// Resolve returns the job for an account's request that arrives at a time, with the
+// properties that its kind and queue have in the configuration. It stores nothing. The
+// error wraps ErrInvalid or ErrNotFound.
 func (r Request) Resolve(c *text.Config, account string, at time.Time) (*graph.Job, error) {
 	if !requestIDPattern.MatchString(r.RequestID) {
 		return nil, fmt.Errorf("%w: requestId %q: want 1 to 100 letters, digits and . _ -", ErrInvalid, r.RequestID)
--- a/internal/work/request/request_test.go
+++ b/internal/work/request/request_test.go
@@ -39,6 +39,7 @@
 repeatable = false
 `
 
+// config returns the parsed configText.
 func config(t *testing.T) *text.Config {
 	t.Helper()
 	c, err := text.Parse([]byte(configText))
@@ -50,6 +51,7 @@
 
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
+// A job has the needs, the shape and the limits of its kind in the configuration.
 func TestResolve(t *testing.T) {
 	is := is.New(t)
 	c := config(t)
@@ -76,6 +78,8 @@
 	is.Equal(bill.MaxAttempts, 1)
 }
 
+// A malformed request is ErrInvalid; a service or job that the configuration lacks is
+// ErrNotFound.
 func TestResolveRejectsInvalidRequests(t *testing.T) {
 	c := config(t)
 	for name, r := range map[string]request.Request{
