--- a/internal/platform/store/instrumented.go
+++ b/internal/platform/store/instrumented.go
@@ -10,12 +10,14 @@
 	"guavaglade.example/guavaglade/internal/report/metrics"
 )
 
-// Instrumented wraps a store. It counts calls by outcome and records their latency.
+// Instrumented wraps a store. It counts calls by outcome and records their latency, which
+// for Changes includes the wait for a change.
 type Instrumented struct {
 	Store
 	calls map[string]*callMetrics
 }
 
+// callMetrics holds the metrics of one kind of call.
 type callMetrics struct {
 	ok, conflict, unavailable, unknown tally.Counter
 	latency                            tally.Histogram
@@ -37,6 +39,8 @@
 	return i
 }
 
+// observe records the latency of a call that began at start, and counts its outcome. A
+// conflict includes ErrCompacted; every error without an outcome of its own is unknown.
 func (m *callMetrics) observe(start time.Time, err error) {
 	m.latency.RecordDuration(time.Since(start))
 	switch {
--- a/internal/platform/store/monitor.go
+++ b/internal/platform/store/monitor.go
@@ -42,8 +42,8 @@
 }
 
 // NewMonitor returns a monitor of a store, which counts as up at first. Probes read
-// probeKey. onChange is called when the store goes down or comes up; it must not
-// block.
+// probeKey, but only while Run runs. onChange is called when the store goes down or comes
+// up, in the call whose outcome shows it and with that call's error; it must not block.
 func NewMonitor(s Store, probeKey Key, onChange func(up bool, err error)) *Monitor {
 	return &Monitor{Store: s, probeKey: probeKey, wentDown: make(chan struct{}, 1), recovered: make(chan struct{}), onChange: onChange}
 }
@@ -55,16 +55,17 @@
 	return m.failures < downAfterFailures
 }
 
-// LastAnswer returns when the store last answered a call.
+// LastAnswer returns when the store last answered a call, the zero time before the first
+// answer.
 func (m *Monitor) LastAnswer() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lastAnswer
 }
 
-// Recovered returns a channel that is closed at the store's next recovery. A call that
-// was in flight during an outage may hang until its timeout; its caller can use the
-// channel to retry earlier.
+// Recovered returns a channel that is closed at the next recovery of the store, which must
+// first go down for that. A call that was in flight during an outage may hang until its
+// timeout; its caller can use the channel to retry earlier.
 func (m *Monitor) Recovered() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,7 +97,8 @@
 	}
 }
 
-// probe reads the probe key until a read is answered, at most downAfterFailures times.
+// probe reads the probe key until a read is answered, at most downAfterFailures times. The
+// reads count as calls, so they also change whether the store is up.
 func (m *Monitor) probe(ctx context.Context) {
 	for range downAfterFailures {
 		probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
@@ -125,9 +127,11 @@
 	return max(idleProbeInterval-time.Since(m.lastAnswer), downProbeInterval)
 }
 
-// observe records the outcome of a call. Conflicts and compacted history are answers;
-// a call that its caller cancelled is ignored. A zero start leaves the latency as it
-// is: the duration of a call that waits for changes is not the store's latency.
+// observe records the outcome of a call. If the store goes down or comes up by it, it
+// wakes Run or closes the channel of Recovered, and calls onChange. Conflicts and
+// compacted history are answers; a call that its caller cancelled is ignored. A zero start
+// leaves the latency as it is: the duration of a call that waits for changes is not the
+// store's latency.
 func (m *Monitor) observe(ctx context.Context, start time.Time, err error) {
 	failed := errors.Is(err, ErrUnavailable) || errors.Is(err, ErrOutcomeUnknown)
 	if errors.Is(ctx.Err(), context.Canceled) {
--- a/internal/platform/store/monitor_test.go
+++ b/internal/platform/store/monitor_test.go
@@ -22,12 +22,14 @@
 	wholeRange = store.Range{Table: "t", Partition: "p"}
 )
 
+// monitored is a monitor of a simulated store.
 type monitored struct {
 	*store.Monitor
-	link    *rows.Link
-	changes []bool
+	link    *rows.Link // injects faults
+	changes []bool     // whether the store was up, at each call of onChange
 }
 
+// newMonitored returns a monitor that does not probe yet, of a store without faults.
 func newMonitored() *monitored {
 	w := &monitored{link: rows.NewLink(rows.New(callLatency), rand.New(rand.NewPCG(1, 1)))}
 	w.Monitor = store.NewMonitor(w.link, key, func(up bool, _ error) { w.changes = append(w.changes, up) })
--- a/internal/platform/store/store.go
+++ b/internal/platform/store/store.go
@@ -83,18 +83,20 @@
 
 // Store is the platform's table store.
 type Store interface {
-	// Commit applies the transaction. On ErrConflict the result holds the current
-	// rows.
+	// Commit applies the transaction. On ErrConflict the result holds the expected rows
+	// that exist, as they are now.
 	Commit(ctx context.Context, tx Tx) (Result, error)
 	// Read returns a page of rows, consistent as of one version.
 	Read(ctx context.Context, r Range) (Page, error)
-	// Changes returns the changes of a table after a version. It waits up to wait
-	// for the first one. It returns ErrCompacted if they are no longer available.
+	// Changes returns the changes of a table, in all partitions, after a version. It
+	// waits up to wait for the first one and returns an empty page if none came. It
+	// returns ErrCompacted if the changes are no longer available.
 	Changes(ctx context.Context, table string, after int64, wait time.Duration) (Page, error)
 }
 
-// ReadAll reads all pages of a range. Each page is consistent only in itself. The
-// version is that of the first page, so a feed that continues from it misses nothing.
+// ReadAll reads all pages of a range, from the first, and returns their rows as one. Each
+// page is consistent only in itself. The version is that of the first page, so a feed that
+// continues from it misses nothing.
 func ReadAll(ctx context.Context, s Store, r Range) (Page, error) {
 	var all Page
 	for first := true; ; first = false {
@@ -113,7 +115,7 @@
 	}
 }
 
-// Get returns one row, with version 0 if it does not exist.
+// Get returns the row of a key, with version 0 and no value if it does not exist.
 func Get(ctx context.Context, s Store, k Key) (Row, error) {
 	page, err := s.Read(ctx, Range{Table: k.Table, Partition: k.Partition, From: k.Name, To: k.Name + "\x00", Limit: 1})
 	if err != nil {
