--- a/internal/work/dispatch/long_running.go
+++ b/internal/work/dispatch/long_running.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// moveLongRunning moves long-running tasks off a draining target, at a time no more of a
-// step than may be unavailable. Each is then unavailable for a moment only, instead of
-// from the target's end until that is noticed.
+// moveLongRunning moves long-running tasks off a draining target, never more of a step at
+// a time than may be unavailable. Each is then unavailable only until it has started up
+// elsewhere, instead of from the target's end until that is detected and for the start.
 func (m *Machine) moveLongRunning(t *target, now time.Time) {
 	if !t.Draining {
 		return
 	}
 	for _, r := range t.sortedRuns() {
 		s := r.task.step
-		if r.phase != running || !s.spec.LongRunning || s.job.finished() || s.unavailable() >= max(s.spec.MaxUnavailable, 1) {
+		if r.phase != running || !s.spec.LongRunning || s.job.finished() || s.unavailableTasks() >= max(s.spec.MaxUnavailable, 1) {
 			continue
 		}
 		if other := m.chooseTarget(r.task, now); other != nil && other != t {
@@ -20,19 +20,19 @@
 	}
 }
 
-// unavailable returns how many tasks of a long-running step are not serving.
-func (s *step) unavailable() int {
+// unavailableTasks returns how many tasks of a long-running step are not available.
+func (s *step) unavailableTasks() int {
 	n := 0
 	for _, x := range s.tasks {
-		if !x.serving() {
+		if !x.available() {
 			n++
 		}
 	}
 	return n
 }
 
-// serving reports whether a long-running task has started up and serves.
-func (x *task) serving() bool {
+// available reports whether a long-running task has started up.
+func (x *task) available() bool {
 	for _, r := range x.runs {
 		if r.phase == running && r.percent == 100 {
 			return true
--- a/internal/work/dispatch/poll.go
+++ b/internal/work/dispatch/poll.go
@@ -127,6 +127,8 @@
 	return false
 }
 
+// sendPoll polls a target. A reachable one gets its lease renewed, and waits up to the
+// given time for an end before it answers.
 func (m *Machine) sendPoll(t *target, wait time.Duration, now time.Time) {
 	o := order.Poll{Term: m.term, Acked: t.acked}
 	if t.reach == reachable { // the lease of an unreachable target must lapse
@@ -253,10 +255,10 @@
 // fenced ends the term: the target has accepted orders of another leader with a higher
 // fencing token.
 func (m *Machine) fenced(t *target, step string) {
-	if !m.deposed {
+	if !m.superseded {
 		m.log.Decided("deposed", "step", step, "target", t.ID, "term", m.term)
 	}
-	m.deposed = true
+	m.superseded = true
 }
 
 // incarnationEnded removes a target whose incarnation has ended: nothing runs there any
--- a/internal/work/dispatch/schedule.go
+++ b/internal/work/dispatch/schedule.go
@@ -14,7 +14,7 @@
 // starts, stops, polls and saves among them. The caller calls it after it has passed in
 // new events, and when NextDecision says so.
 func (m *Machine) Decide(now time.Time) []Command {
-	if m.placementEnabled && m.placementDue && !m.deposed && !m.awaitingReports(now) && m.stateIsCurrent(now) {
+	if m.placementEnabled && m.placementDue && !m.superseded && !m.awaitingReports(now) && m.stateIsCurrent(now) {
 		m.recordWaiting(now)
 		if now.Before(m.nextPassAt) {
 			m.placeNewSteps(now)
@@ -31,7 +31,7 @@
 	m.sendSaves(now)
 	out := m.commands
 	m.commands = nil
-	if m.deposed {
+	if m.superseded {
 		return nil
 	}
 	return out
@@ -45,7 +45,7 @@
 	if ready := m.placementEnabledAt.Add(reportWait); at.Before(ready) {
 		at = ready
 	}
-	return at, m.placementEnabled && m.placementDue && !m.deposed && m.stateIsCurrent(now)
+	return at, m.placementEnabled && m.placementDue && !m.superseded && m.stateIsCurrent(now)
 }
 
 // considerPoll has the next Decide check whether a target is due for a poll.
@@ -67,9 +67,10 @@
 	victims map[*target][]victim // runs that may be stopped for work of priority 0
 	losses  map[*step]float64    // losses of gangs if they are stopped
 	wanted  map[string]int       // accelerators wanted for jobs of priority 0, by account
-	// preemptibleCapacity is the capacity of targets that is free if all preemptible runs stop.
+	// preemptibleCapacity is the capacity of targets that is free if all preemptible runs
+	// stop.
 	preemptibleCapacity map[*target]graph.Resources
-	unplaceable         []unplaceable // gangs that do not fit without preemption
+	unplaceable         []unplaceableGang // gangs that do not fit without preemption
 }
 
 // invalidate drops the cached values of a target.
@@ -85,7 +86,7 @@
 	m.countBacklog(now)
 }
 
-// placeNewSteps places the steps of priority 0 that were opened since the last pass, so
+// placeNewSteps places the steps of priority 0 that were enqueued since the last pass, so
 // that urgent work does not wait for the next pass.
 func (m *Machine) placeNewSteps(now time.Time) {
 	steps := m.newSteps
@@ -170,8 +171,7 @@
 	return slices.ContainsFunc(m.sortedTargets, func(t *target) bool { return t.listed && t.reach == notPolled })
 }
 
-// lateFactor is the multiple of its objective within which a job still earns value, by the
-// users' rule for late jobs.
+// lateFactor is the multiple of its objective within which a late job still earns value.
 const lateFactor = 3
 
 // worthlessRank ranks steps of jobs that can earn no value any more behind all others.
