--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -43,10 +43,12 @@
 	Targets(ctx context.Context) ([]roster.Target, error)
 }
 
-// ErrNotLeading is returned if this host does not lead, or has not read all jobs yet.
+// ErrNotLeading is returned if this host does not lead, or has not read all jobs and
+// targets yet.
 var ErrNotLeading = errors.New("not leading")
 
-// Dispatcher schedules all work while its host leads.
+// Dispatcher schedules all work while its host leads. Its notifications and queries fail
+// with ErrNotLeading otherwise, and until a term has read all jobs and targets.
 type Dispatcher struct {
 	store      store.Store
 	transport  order.Transport
@@ -76,11 +78,12 @@
 // WithMetrics sets the scope of the leader's metrics, by default none.
 func WithMetrics(s tally.Scope) Option { return func(d *Dispatcher) { d.metrics = s } }
 
-// WithAdviser sets the advice service.
+// WithAdviser sets the advice service. Without one no step of a queue that needs advice
+// starts.
 func WithAdviser(a order.Adviser) Option { return func(d *Dispatcher) { d.adviser = a } }
 
-// WithJobEnded sets a function that is called for each job that has ended. It must not
-// block.
+// WithJobEnded sets a function that the main loop calls for each job that has ended. It
+// must not block.
 func WithJobEnded(f func(dispatch.JobEnded)) Option { return func(d *Dispatcher) { d.onJobEnded = f } }
 
 // WithCatalog sets the keeper of the configuration in force. Without one no account
@@ -100,7 +103,8 @@
 	return func(d *Dispatcher) { d.recovered = f }
 }
 
-// New returns a dispatcher that does not lead yet.
+// New returns a dispatcher that does not lead yet. It replaces Partitions and MaxListAge of
+// the bounds, and MaxEvacuationAge if WithEvacuations and EvacuateTime are set.
 func New(s store.Store, t order.Transport, r Roster, b dispatch.Bounds, log logr.Logger, opts ...Option) *Dispatcher {
 	b.Partitions, b.MaxListAge = Partitions, max(b.DrainTime-startMargin, 3*b.DrainTime/4)
 	d := &Dispatcher{store: s, transport: t, roster: r, bounds: b, clock: boottime.Now, metrics: tally.NoopScope, onJobEnded: func(dispatch.JobEnded) {}, recovered: func() <-chan struct{} { return nil }, log: log}
@@ -121,7 +125,7 @@
 	machine        *dispatch.Machine
 	histories      *histories // of the jobs, in this term
 	limiter        *limiter.Limiter
-	events         chan func(now time.Time)
+	events         chan func(now time.Time) // for the main loop
 	fences         [Partitions]int64
 	configVersion  int64         // version of the configuration that the machine has
 	scannedVersion int64         // version up to which the jobs table was scanned
@@ -131,8 +135,9 @@
 	wg              sync.WaitGroup
 }
 
-// Lead serves a term until the context ends or a newer term is found. clean is as for
-// leader.Lead.
+// Lead serves a term until the context ends or a newer term is found, and returns which as
+// an error. After the main loop it waits for the term's calls to the store, but not for
+// those to targets. clean is as for leader.Lead.
 func (d *Dispatcher) Lead(ctx context.Context, t *leader.Term, clean bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -163,13 +168,15 @@
 	d.serving = l
 }
 
+// current returns the term that is being served, or nil.
 func (d *Dispatcher) current() *leadership {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.serving
 }
 
-// restore writes the fence rows of all partitions and reads their jobs.
+// restore writes the fence rows of all partitions and passes their jobs to the machine. It
+// sets scannedVersion to the lowest version at which a partition was read.
 func (l *leadership) restore() error {
 	type result struct {
 		partition int
@@ -206,7 +213,8 @@
 	return nil
 }
 
-// readPartitionUntilAnswered reads a partition, and repeats this until the store answers.
+// readPartitionUntilAnswered reads a partition, and repeats this until the store answers or
+// the term ends.
 func (l *leadership) readPartitionUntilAnswered(partition int) ([]storedJob, int64, error) {
 	for {
 		ctx, cancel := context.WithTimeout(l.ctx, storeTimeout)
@@ -234,7 +242,8 @@
 	}
 }
 
-// run is the main loop, which owns the machine.
+// run is the main loop, which owns the machine. It begins when the list of targets has been
+// read, and returns errNewerTerm if the machine has found a newer term.
 // predecessorLeasesEnd is when the last lease ends that an earlier leader may have granted.
 func (l *leadership) run(predecessorLeasesEnd time.Time) error {
 	listed, err := l.awaitTargets()
@@ -282,7 +291,8 @@
 	}
 }
 
-// updateMetrics updates the gauges of the machine's state and of the order queue.
+// updateMetrics updates the gauges of the machine's state and of the order queue. It logs
+// waiting orders, once a second at most.
 func (l *leadership) updateMetrics() {
 	c := l.machine.Counts()
 	guaranteed, usable := l.machine.Guarantees()
@@ -305,7 +315,8 @@
 	l.metrics.Gauge("order_delay_seconds").Update(load.Delay.Seconds())
 }
 
-// applyConfig passes a newer configuration to the machine.
+// applyConfig passes the guarantees of the configuration in force to the machine if its
+// version has changed.
 func (l *leadership) applyConfig() {
 	if l.keeper == nil {
 		return
@@ -336,8 +347,8 @@
 	}
 }
 
-// awaitTargets reads the first list of targets, and returns when the successful read
-// began.
+// awaitTargets reads the list of targets until this succeeds or the term ends, passes it to
+// the machine and returns when the successful read began.
 func (l *leadership) awaitTargets() (time.Time, error) {
 	for {
 		asOf := l.clock()
@@ -354,6 +365,8 @@
 	}
 }
 
+// readTargets reads the list of targets, and marks those as draining that the configuration
+// drains.
 func (l *leadership) readTargets(ctx context.Context, timeout time.Duration) ([]roster.Target, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -394,6 +407,7 @@
 	})
 }
 
+// spawn runs f in a goroutine for which the end of the term waits.
 func (l *leadership) spawn(f func()) {
 	l.wg.Add(1)
 	go func() {
@@ -415,7 +429,8 @@
 	}
 }
 
-// refreshTargets reads the list of targets.
+// refreshTargets reads the list of targets and posts it. It sets the timeout of the next
+// read, which a failure doubles.
 func (l *leadership) refreshTargets(ctx context.Context) error {
 	asOf := l.clock()
 	list, err := l.readTargets(ctx, l.listTimeout)
--- a/internal/host/dispatcher/execute.go
+++ b/internal/host/dispatcher/execute.go
@@ -19,7 +19,7 @@
 // ended.
 var errTermOver = fmt.Errorf("%w: the leader row was not renewed in time", order.ErrUnreached)
 
-// execute starts the execution of a command.
+// execute starts the execution of a command. The result is posted to the main loop.
 func (l *leadership) execute(c dispatch.Command, _ time.Time) {
 	switch c := c.(type) {
 	case dispatch.Start:
@@ -57,6 +57,8 @@
 	return !status.Has(zone) && (l.bounds.MaxEvacuationAge == 0 || age <= l.bounds.MaxEvacuationAge)
 }
 
+// start sends a start, unless its zone is evacuated or the evacuation status too old by the
+// time that the limiter admits it.
 func (l *leadership) start(c dispatch.Start) {
 	clock, err := l.send(c.Class, 0, func(ctx context.Context) (int64, error) {
 		if !l.mayStartIn(c.Zone) {
@@ -75,6 +77,7 @@
 	l.post(func(now time.Time) { l.machine.StopAnswered(c.Target.ID, c.Run, clock, err, now) })
 }
 
+// pace sends the pace of a run. The limiter treats it like a start.
 func (l *leadership) pace(c dispatch.Pace) {
 	clock, err := l.send(limiter.Start, 0, func(ctx context.Context) (int64, error) {
 		return l.transport.Pace(ctx, c.Target, c.Run, c.Percent, l.term.Number())
@@ -82,9 +85,10 @@
 	l.post(func(now time.Time) { l.machine.PaceAnswered(c.Target.ID, c.Run, clock, err, now) })
 }
 
-// send sends an order once the limiter admits it. The timeout counts from then, since
-// the time spent waiting in this host says nothing of the target. It is the limiter's,
-// and at least minTimeout.
+// send sends an order once the limiter admits it, and returns the target's clock. It
+// returns errTermOver, without sending, if the term may have ended. The timeout is the
+// limiter's, and at least minTimeout. It counts from the admission, since the time spent
+// waiting in this host says nothing of the target.
 func (l *leadership) send(c limiter.Class, minTimeout time.Duration, order func(ctx context.Context) (int64, error)) (int64, error) {
 	slot, err := l.limiter.Acquire(l.ctx, c)
 	if err != nil {
@@ -110,6 +114,7 @@
 // service.
 var errNoAdviser = errors.New("no advice service")
 
+// advise asks the advice service which of the targets may run a step.
 func (l *leadership) advise(c dispatch.Advise) {
 	asked := l.clock()
 	var granted []order.Permit
@@ -123,6 +128,7 @@
 	l.post(func(now time.Time) { l.machine.Advised(c, granted, valid, asked, err, now) })
 }
 
+// poll requests a target's report.
 func (l *leadership) poll(c dispatch.Poll) {
 	rep, err := l.requestReport(c)
 	l.post(func(now time.Time) {
@@ -154,7 +160,8 @@
 
 // save commits a transaction of progress rows. One whose answer was lost is committed
 // again: its conditions keep it from taking effect twice, and the conflict then returns
-// the stored rows.
+// the stored rows. If the store is unavailable at the first attempt, the machine saves the
+// rows again later.
 func (l *leadership) save(c dispatch.Save) {
 	tx := l.transaction(c)
 	for attempt := 0; ; attempt++ {
@@ -193,6 +200,8 @@
 	return res, interrupted, err
 }
 
+// transaction returns the transaction of a save. It fails if the partition's fence row or
+// one of the progress rows has changed, or if a job that it completes was cancelled.
 func (l *leadership) transaction(c dispatch.Save) store.Tx {
 	tx := store.Tx{Expect: []store.Expect{{Key: fenceKey(c.Partition), Version: l.fences[c.Partition]}}}
 	for _, r := range c.Rows {
@@ -206,7 +215,8 @@
 	return tx
 }
 
-// forget removes the rows of jobs. The machine repeats a command that failed.
+// forget removes all rows of ended jobs, unless the partition's fence row has changed. The
+// machine repeats a command that failed.
 func (l *leadership) forget(c dispatch.Forget) {
 	tx := store.Tx{Expect: []store.Expect{{Key: fenceKey(c.Partition), Version: l.fences[c.Partition]}}}
 	for _, id := range c.Jobs {
@@ -222,7 +232,9 @@
 	l.post(func(time.Time) { l.machine.Forgotten(c) })
 }
 
-// resolveConflict evaluates the stored rows that made a transaction fail.
+// resolveConflict posts what the stored rows say about a save that failed with a conflict:
+// the fence row was changed by a newer term, an earlier attempt took effect, or the rows
+// have to be saved again.
 func (l *leadership) resolveConflict(c dispatch.Save, tx store.Tx, rows []store.Row) {
 	stored := map[store.Key]store.Row{}
 	for _, r := range rows {
@@ -249,7 +261,8 @@
 	l.post(func(now time.Time) { l.machine.SaveRefused(c.Partition, found, now) })
 }
 
-// scan finds jobs and cancellations whose notification was lost.
+// scan finds jobs and cancellations whose notification was lost, in the changes of the jobs
+// table since the last scan.
 func (l *leadership) scan(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -266,7 +279,8 @@
 	return nil
 }
 
-// rescan reads all rows, after the change feed was compacted past scannedVersion.
+// rescan reads all rows of the jobs table, after the change feed was compacted past
+// scannedVersion.
 func (l *leadership) rescan(ctx context.Context) error {
 	version := int64(0)
 	for p := range Partitions {
@@ -285,6 +299,8 @@
 	return nil
 }
 
+// applyRows posts the jobs and cancellations of rows of the jobs table. Removed rows are
+// skipped, malformed ones logged.
 func (l *leadership) applyRows(rows []store.Row) {
 	for _, r := range rows {
 		if r.Removed {
--- a/internal/host/dispatcher/history.go
+++ b/internal/host/dispatcher/history.go
@@ -40,7 +40,8 @@
 	return &histories{log: log, byJob: map[graph.JobID][]decision{}}
 }
 
-// Decided implements dispatch.Log.
+// Decided implements dispatch.Log. The decision is kept for the first job, task or step that
+// kv names.
 func (h *histories) Decided(message string, kv ...any) {
 	h.log.Info(message, kv...)
 	id, ok := jobOf(kv)
@@ -60,6 +61,7 @@
 	h.byJob[id] = append(decisions, decision{at: time.Now(), message: message, pairs: kv})
 }
 
+// evictOldest drops the job whose first decision is the oldest, if maxJobs are kept.
 func (h *histories) evictOldest() {
 	if len(h.jobOrder) < maxJobs {
 		return
@@ -68,7 +70,8 @@
 	h.jobOrder = h.jobOrder[1:]
 }
 
-// jobOf returns the job that a decision is about.
+// jobOf returns the first job that the pairs of a decision name, by itself or in a task or
+// step, and whether there is one.
 func jobOf(kv []any) (graph.JobID, bool) {
 	for i := 0; i+1 < len(kv); i += 2 {
 		switch v := kv[i+1].(type) {
--- a/internal/host/dispatcher/narrow_link_test.go
+++ b/internal/host/dispatcher/narrow_link_test.go
@@ -102,6 +102,8 @@
 	tasks int
 }
 
+// startLeader starts a leader with a term that does not end, and waits a second. perSecond
+// is the bandwidth of its link in bytes.
 func startLeader(ctx context.Context, racks int, perSecond float64) *narrowLinkDeployment {
 	r := &narrowLinkDeployment{pool: pool.Share(ctx, pool.New(pool.DefaultBounds())), rows: rows.New(8 * time.Millisecond), ended: make(chan error, 1)}
 	r.pool.Do(func(p *pool.Pool, now time.Time) {
@@ -121,7 +123,8 @@
 	return r
 }
 
-// submit submits a gang with a spec of the given number of bytes.
+// submit submits job n, a gang with a spec of the given number of bytes, as an entry does: it
+// stores the job and notifies the leader.
 func (r *narrowLinkDeployment) submit(t *testing.T, n, members, spec int) {
 	j := &graph.Job{
 		ID: graph.JobID(fmt.Sprintf("%016x", n+1)), Queue: "q", Service: "s", Account: "a", Priority: n % 2, MaxAttempts: 2, SlackFactor: 3,
@@ -149,7 +152,8 @@
 // their starts take five seconds to transmit. If the leader sent all of them at once, those
 // that queue longer than the timeout of an order would be repeated, then stopped: gangs
 // would start in part and be restarted, reports would be late and healthy targets
-// unreachable, long after the burst. Each start has to wait in the leader instead.
+// unreachable, long after the burst. Each start has to wait in the leader instead, and each
+// task must start once.
 func TestBurstOverNarrowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/host/dispatcher/recovery_test.go
+++ b/internal/host/dispatcher/recovery_test.go
@@ -18,8 +18,9 @@
 	"guavaglade.example/guavaglade/internal/work/dispatch"
 )
 
-// outageStore is a store and a roster that do not answer while down is set: calls made
-// during that time are lost.
+// outageStore is a store and a roster that do not answer while down is set: reads of the
+// target list and commits made during that time are lost. It records when the others were
+// answered.
 type outageStore struct {
 	*rows.Table
 	mu     sync.Mutex
@@ -87,9 +88,9 @@
 	return o.Table.Commit(ctx, tx)
 }
 
-// The store does not answer for five seconds. Waiting for the read of the target list that
-// is in flight at its recovery, until the timeout, would delay all pending work by up to
-// two seconds, as the old list is too old to place by.
+// The store does not answer for five seconds. The target list must be read within 50 ms of
+// its recovery. Waiting for the read that is in flight then, until the timeout, would delay
+// all pending work by up to two seconds, as the old list is too old to place by.
 func TestListIsReadAtOnceWhenStoreRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -113,8 +114,8 @@
 	})
 }
 
-// The same for progress: starts are sent and ends are shown to clients only after the
-// save.
+// A save of progress is in flight when the store recovers. It must be repeated at once and
+// take effect once: starts are sent and ends are shown to clients only after the save.
 func TestSaveIsRepeatedAtOnceWhenStoreRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/host/dispatcher/requests.go
+++ b/internal/host/dispatcher/requests.go
@@ -38,8 +38,8 @@
 	return list, err
 }
 
-// History returns a job with the decisions about it, and whether the leader knows the
-// job.
+// History returns a job with the present term's decisions about it, and whether the leader
+// knows the job.
 func (d *Dispatcher) History(ctx context.Context, id graph.JobID) (history view.History, known bool, err error) {
 	err = d.onLoop(ctx, func(m *dispatch.Machine, _ time.Time) {
 		history.Job, known = m.Job(id)
@@ -57,7 +57,8 @@
 	return f, err
 }
 
-// onLoop runs f on the main loop and waits for it.
+// onLoop runs f on the main loop and waits for it. If the context ends first, f may still
+// run.
 func (d *Dispatcher) onLoop(ctx context.Context, f func(m *dispatch.Machine, now time.Time)) error {
 	l := d.current()
 	if l == nil || !l.term.Valid(d.clock()) {
--- a/internal/host/dispatcher/rows.go
+++ b/internal/host/dispatcher/rows.go
@@ -87,6 +87,8 @@
 	}
 }
 
+// tryWriteFence makes one attempt of writeFence. A row that names the term already is left
+// as it is.
 func tryWriteFence(ctx context.Context, s store.Store, partition int, term int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -114,13 +116,14 @@
 // storedJob is a job as its rows describe it.
 type storedJob struct {
 	spec      *graph.Job
-	progress  *progress.Job // nil for none
-	version   int64         // of the progress row
+	progress  *progress.Job // nil for none or a malformed one
+	version   int64         // of the progress row; 0 for none
 	cancelled bool
 }
 
 // readPartition reads all jobs of a partition, and the version after which the change feed
-// continues. Rows that cannot be decoded are passed to malformed and left out.
+// continues. Rows that cannot be decoded are passed to malformed and left out; a job whose
+// progress row is one of them has no progress.
 func readPartition(ctx context.Context, s store.Store, partition int, malformed func(store.Row, error)) ([]storedJob, int64, error) {
 	name := strconv.Itoa(partition)
 	jobs, err := store.ReadAll(ctx, s, store.Range{Table: jobsTable, Partition: name})
--- a/internal/host/dispatcher/safety_test.go
+++ b/internal/host/dispatcher/safety_test.go
@@ -46,7 +46,7 @@
 }
 
 // newLeadership returns a leadership whose term was taken at the time given, with the
-// clock at now.
+// clock stopped at now. Its main loop does not run: events are queued only.
 func newLeadership(table store.Store, transport order.Transport, taken, now time.Time) *leadership {
 	d := New(table, transport, nil, dispatch.DefaultBounds(), logr.Discard(), WithClock(func() time.Time { return now }))
 	return &leadership{Dispatcher: d, limiter: limiter.New(time.Now), ctx: context.Background(), term: leader.NewTerm(7, taken), events: make(chan func(time.Time), 100)}
@@ -72,7 +72,8 @@
 	}
 }
 
-// newFenced returns a table with a fence row, and a leadership that knows its version.
+// newFenced returns a table with a fence row, a leadership that knows its version, and a save
+// that completes a job.
 func newFenced() (*rows.Table, *leadership, dispatch.Save) {
 	table := rows.New(0)
 	l := newLeadership(table, &orderCounter{}, time.Unix(1000, 0), time.Unix(1000, 0))
@@ -81,10 +82,11 @@
 	return table, l, c
 }
 
+// somePartition returns the partition of someJob.
 func somePartition() int { return dispatch.PartitionOf(someJob, Partitions) }
 
-// A leader has been superseded and does not know it. Its writes of progress after the next
-// leader wrote the fence rows must fail: the next leader has read the progress already.
+// A leader has been superseded and does not know it. Its writes of progress must fail once
+// the next leader has written the fence rows: the next leader has read the progress already.
 func TestProgressIsWrittenUnderFence(t *testing.T) {
 	is := is.New(t)
 	table, l, c := newFenced()
