--- a/internal/host/leader/election.go
+++ b/internal/host/leader/election.go
@@ -14,18 +14,19 @@
 
 // Peers calls the other hosts.
 type Peers interface {
-	// Watch asks the host at an address whether it still leads. The call is answered
-	// after a delay, and fails if the host's process is gone.
+	// Watch asks the host at an address whether it still leads in a term, and returns the
+	// leader row that the host knows. A leader answers after a delay. The call fails if the
+	// host's process is gone, or if it does not lead and knows of no newer term.
 	Watch(ctx context.Context, address string, term int64) (Row, error)
 	// Candidates returns the addresses of hosts with at least minCores cores that
 	// watch this host and have just read the leader row, ordered by cores, largest
 	// first.
 	Candidates(ctx context.Context, minCores float64) []string
 	// Rank returns how many of the hosts that the last leader listed precede this
-	// one, and whether the largest of them has at least ratio times its cores.
+	// one, and whether the largest of them has at least ratio times this host's cores.
 	Rank(ratio float64) (rank int, muchLarger bool)
-	// TransferLeadership asks the host at an address to take over the row, and
-	// reports whether it did.
+	// TransferLeadership asks the host at an address to take over the row r at the
+	// given version, and reports whether it did.
 	TransferLeadership(ctx context.Context, address string, r Row, version int64) bool
 }
 
@@ -45,14 +46,14 @@
 	cores       float64             // of this host
 	log         logr.Logger
 	mu          sync.Mutex
-	row         Row           // as last read, written or reported by a peer
+	row         Row           // leader row as last read, written or reported by a peer
 	version     int64         // of row in the store; 0 if a peer reported the row
 	changedAt   time.Time     // when this host first saw that row, or last reset the lease
 	storeDownAt time.Time     // when the store last became unavailable to this host
 	term        *Term         // nil while another host leads
 	following   bool          // another host leads, and this one could
 	transfers   chan transfer // terms that a leader transferred to this host
-	readTime    time.Duration // duration of the last read of the row
+	readTime    time.Duration // duration of the last successful read of the row
 }
 
 // Option sets one property of a new election.
@@ -94,7 +95,8 @@
 	return e.term
 }
 
-// Run takes part in the election until the context ends. A leader resigns then.
+// Run takes part in the election until the context ends. A leader resigns then, and Run
+// returns after that.
 func (e *Election) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		e.setFollowing(true)
--- a/internal/host/leader/election_test.go
+++ b/internal/host/leader/election_test.go
@@ -37,7 +37,7 @@
 	hosts map[string]*host
 }
 
-// start adds a host.
+// start starts a host and adds it to the network.
 func (n *network) start(table *rows.Table, name string, seed uint64) *host {
 	h := startHostWithPeers(networkPeers{network: n, own: name}, table, name, seed)
 	n.mu.Lock()
@@ -73,7 +73,7 @@
 	return h.Leader(), ctx.Err()
 }
 
-// Candidates implements leader.Peers.
+// Candidates implements leader.Peers. No host is larger than another.
 func (p networkPeers) Candidates(ctx context.Context, minCores float64) (candidates []string) {
 	if minCores > 0 {
 		return nil
@@ -102,10 +102,12 @@
 	done    chan struct{}
 }
 
+// startHost starts a host that reaches no other one.
 func startHost(table *rows.Table, name string, seed uint64) *host {
 	return startHostWithPeers(noPeers{}, table, name, seed)
 }
 
+// startHostWithPeers starts a host. Its sleeps between reads of the row are random by seed.
 func startHostWithPeers(peers leader.Peers, table *rows.Table, name string, seed uint64) *host {
 	ctx, cancel := context.WithCancel(context.Background())
 	h := &host{name: name, link: rows.NewLink(table, rand.New(rand.NewPCG(seed, 1))), cancel: cancel, done: make(chan struct{})}
@@ -136,6 +138,7 @@
 	return n
 }
 
+// stop ends the host's part in the election. If it leads, it resigns.
 func (h *host) stop() {
 	h.cancel()
 	<-h.done
@@ -199,7 +202,7 @@
 
 // runEightHosts has eight hosts elect a leader, calls disturb with them, and returns the
 // terms before and after. It fails if no single host leads afterwards, or if two hosts led
-// in the same term.
+// in the same term. The hosts' sleeps between reads of the row are random by seed.
 func runEightHosts(t *testing.T, seed uint64, disturb func(hosts []*host)) (before, after int64) {
 	table := rows.New(storeLatency)
 	peers := &network{hosts: map[string]*host{}}
@@ -232,7 +235,8 @@
 // its watchers, but its row does not change in that time. Once the store is back, a watcher
 // that has not read the row for a second must not take it over, and the leader, whose last
 // write times out just then, must not conclude that the store refuses only itself, and
-// resign. Otherwise the next leader has to restore the state of all running tasks.
+// resign. Otherwise the next leader has to restore the state of all running tasks. Calls are
+// refused for even seeds and unanswered for odd ones, and the outage grows with the seed.
 func TestLeaderKeepsTermThroughStoreOutage(t *testing.T) {
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
@@ -253,7 +257,7 @@
 }
 
 // The store refuses the leader and serves the other hosts. The leader transfers the
-// leadership before its row could be taken over.
+// leadership within Lease, before its row could be taken over.
 func TestLeaderRefusedByStoreTransfersLeadership(t *testing.T) {
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
@@ -280,7 +284,8 @@
 }
 
 // The store refuses the leader and some other hosts. The leader transfers the leadership,
-// and the hosts that cannot read the row ask it which host leads.
+// and the hosts that cannot read the row ask it which host leads: after four seconds each of
+// them watches the new leader.
 func TestHostsRefusedByStoreFollowNextLeader(t *testing.T) {
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
@@ -311,6 +316,7 @@
 // is restored while the first one reads back its last write. It finds the new row and must
 // not overwrite it, using the version just read: the next host to take over would get a term
 // that is already in use, and two leaders would start the same tasks with one fencing token.
+// The seed sets for how long the first leader is disconnected.
 func TestSupersededLeaderDoesNotOverwriteRow(t *testing.T) {
 	for seed := range uint64(80) {
 		synctest.Test(t, func(t *testing.T) {
@@ -399,6 +405,7 @@
 	})
 }
 
+// DecodeRow returns either a row or an error for any value.
 func FuzzDecodeRow(f *testing.F) {
 	for _, s := range []string{"", "{}", `{"term":7,"holder":"a#1"}`, `{"term":"x"}`, "\xff", "[]"} {
 		f.Add([]byte(s))
--- a/internal/host/leader/following.go
+++ b/internal/host/leader/following.go
@@ -7,7 +7,9 @@
 	"guavaglade.example/guavaglade/internal/platform/store"
 )
 
-// follow watches the leader once, and reports whether its row may be taken over.
+// follow watches the leader once, and reports whether its row may be taken over. If no leader
+// is known, or it does not answer, or its row has not changed for Lease, follow reads the row,
+// and sleeps before it returns false, unless the row names another leader now.
 func (e *Election) follow(ctx context.Context) bool {
 	row := e.Leader()
 	if row.Holder != "" && row.Address != e.own.Address {
@@ -50,7 +52,8 @@
 	}
 }
 
-// ReadRow reads the leader row.
+// ReadRow reads the leader row and records it as last known. A malformed row is logged, and
+// counts as one of term 0 without a holder.
 func (e *Election) ReadRow(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -70,7 +73,8 @@
 	return nil
 }
 
-// observe records the row as last known. Version 0 means that a peer reported it.
+// observe records the row as last known, unless its term is older. A changed row restarts
+// the lease. Version 0 means that a peer reported the row.
 func (e *Election) observe(r Row, version int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -124,7 +128,8 @@
 // lease: a renewal is a transaction, which takes up to three times as long as a read.
 const readTimeFactor = 4
 
-// mayTakeOver reports whether the row may be taken over.
+// mayTakeOver reports whether the row may be taken over: it is vacant, or has not changed
+// for Lease, plus a time for a slow store, plus a time if another host is much larger.
 func (e *Election) mayTakeOver() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -153,8 +158,8 @@
 	transferCheckInterval = 2 * time.Second
 )
 
-// deferToLargerHosts waits for larger hosts to take the row over, and reports whether
-// this host may still do so afterwards.
+// deferToLargerHosts waits for larger hosts to take the row over, reads the row, and reports
+// whether this host may still take it over. The largest host does not wait.
 func (e *Election) deferToLargerHosts(ctx context.Context) bool {
 	rank, _ := e.peers.Rank(transferRatio)
 	rank = min(rank, maxRank)
--- a/internal/host/leader/leading.go
+++ b/internal/host/leader/leading.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// serveTerm leads and renews the row until the term ends, then resigns.
+// serveTerm calls lead and renews the row until one of them ends the term, waits for the
+// other, then resigns.
 func (e *Election) serveTerm(ctx context.Context, t *Term, r Row, version int64, clean bool) {
 	leading, end := context.WithCancel(ctx)
 	lost := make(chan error, 1)
@@ -61,7 +62,8 @@
 }
 
 // findLargerHost checks for a much larger host until the context ends, and closes the
-// channel when there is one. The check runs beside the renewals and must not delay them:
+// channel when there is one. If the cores of this host are not known, it does not check.
+// The check runs beside the renewals and must not delay them:
 // hosts may be slow to answer just when a leader is needed most.
 func (e *Election) findLargerHost(ctx context.Context) <-chan struct{} {
 	found := make(chan struct{})
@@ -84,7 +86,9 @@
 	return found
 }
 
-// renew writes the row again. It returns an error if the term has ended.
+// renew writes the row again and returns the version for the next write. It returns an error
+// if the term has ended, or must end since the store is unavailable to this host only. Any
+// other failure is only logged.
 func (e *Election) renew(ctx context.Context, t *Term, r *Row, version int64) (int64, error) {
 	sent := e.clock()
 	next := *r
@@ -150,7 +154,8 @@
 }
 
 // resign transfers the leadership to a peer, or else clears the row's holder, so that
-// another host leads at once.
+// another host leads at once. It does nothing if a newer term is known, and is not
+// interrupted by the end of the context.
 func (e *Election) resign(ctx context.Context, r Row, version int64) {
 	if known := e.Leader(); known.Term > r.Term {
 		return
--- a/internal/host/leader/takeover.go
+++ b/internal/host/leader/takeover.go
@@ -26,8 +26,8 @@
 	e.sleepJittered(ctx, ReadInterval/4)
 }
 
-// acquire replaces the row as last known by one that names this host, with the next
-// term.
+// acquire replaces the given row by one that names this host, with the next term. If that
+// succeeds, this host leads: OwnTerm returns the new term from then on.
 func (e *Election) acquire(ctx context.Context, before Row, version int64) (*Term, Row, int64, error) {
 	next := e.own
 	next.Term, next.Heartbeat = before.Term+1, 1
@@ -44,7 +44,8 @@
 }
 
 // AcceptTransfer takes the row over at the request of a leader that has ceased to send
-// orders. It reports whether that succeeded.
+// orders, and reports whether that succeeded. It refuses if this host leads, is taking the
+// row over already, or knows a newer term.
 func (e *Election) AcceptTransfer(ctx context.Context, r Row, version int64) bool {
 	e.mu.Lock()
 	accepted := e.term == nil && e.following && r.Term >= e.row.Term
@@ -78,8 +79,9 @@
 	e.row, e.version, e.term, e.changedAt = r, version, t, e.clock()
 }
 
-// write replaces the row at the given version and returns its new version. If the
-// outcome of the write is unknown, it reads the row back.
+// write replaces the row at the given version and returns its new version. After a conflict
+// or an unknown outcome it reads the row back: if the row is r, the write has succeeded, else
+// the row is recorded as last known.
 func (e *Election) write(ctx context.Context, r Row, version int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
--- a/internal/host/leader/term.go
+++ b/internal/host/leader/term.go
@@ -25,7 +25,8 @@
 // Done returns a channel that is closed when the term ends.
 func (t *Term) Done() <-chan struct{} { return t.done }
 
-// Valid reports whether the leader may still send orders.
+// Valid reports whether the leader may still send orders: it has renewed the row within
+// Grace.
 func (t *Term) Valid(now time.Time) bool { return now.Sub(t.lastRenewal()) < Grace }
 
 // LeaseHeld reports whether the row was written recently enough that no other host
@@ -38,6 +39,7 @@
 	return t.renewedAt
 }
 
+// renewed records a successful renewal of the row that was sent at the given time.
 func (t *Term) renewed(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
