--- a/internal/host/rpc/endpoint.go
+++ b/internal/host/rpc/endpoint.go
@@ -98,19 +98,19 @@
 	storeAnsweredAt  func() time.Time // when the store last answered
 	dispatcher       Dispatcher
 	keeper           *catalog.Keeper
-	adopted          func(version int64, from string) // called for a configuration that a peer had
+	adopted          func(version int64, from string) // called for a configuration that came from a peer
 	burnSnapshot     func() burn.Snapshot             // counts of jobs that ended, as reported by this host
 	log              logr.Logger
 	mu               sync.Mutex
-	leaderReportedAt time.Time          // when the leader last reported its reachability
-	watchers         map[string]watcher // hosts that watch this one, by address
-	peers            []peerInfo         // hosts to which the store is available, as last listed by the leader
-	ranking          []peerInfo         // the last such list that was not empty
-	reach            reachability       // of the leader, as last reported
-	maxZones         int                // the most zones that a leader reached at once
-	listed           []peerInfo         // sent to watchers, immutable; nil before the first
-	listedAt         time.Time          // when listed was made
-	pendingCounts    map[string]pendingCount
+	leaderReportedAt time.Time               // when the leader last reported its reachability
+	watchers         map[string]watcher      // hosts that watch this one or did lately, by address
+	peers            []peerInfo              // hosts to which the store is available, as last listed by the leader
+	ranking          []peerInfo              // the last such list that was not empty
+	reach            reachability            // of the leader, as last reported
+	maxZones         int                     // the most zones that a leader reached at once
+	listed           []peerInfo              // sent to watchers, immutable; nil before the first
+	listedAt         time.Time               // when listed was made
+	pendingCounts    map[string]pendingCount // by queue
 }
 
 // Option sets one property of a new endpoint.
@@ -160,7 +160,8 @@
 	e.transport, e.election, e.writer = t, l, w
 }
 
-// Handle answers a peer's call.
+// Handle answers a peer's call. The error wraps peer.ErrNoMethod or peer.ErrBadParams, or is
+// that of the called method.
 func (e *Endpoint) Handle(ctx context.Context, method string, params json.RawMessage) (any, error) {
 	switch method {
 	case methodWatch:
@@ -206,6 +207,8 @@
 	return nil, fmt.Errorf("%s: %w", method, peer.ErrNoMethod)
 }
 
+// decodeAndCall calls f with the decoded parameters. It fails with peer.ErrBadParams if they
+// cannot be decoded.
 func decodeAndCall[T any](params json.RawMessage, f func(T) (any, error)) (any, error) {
 	var in T
 	if err := json.Unmarshal(params, &in); err != nil {
--- a/internal/host/rpc/endpoint_test.go
+++ b/internal/host/rpc/endpoint_test.go
@@ -80,7 +80,7 @@
 	return w.err
 }
 
-// host is one host of a test.
+// host is one host of a test. It is the net.Listener of its transport.
 type host struct {
 	*rpc.Endpoint
 	address          string
@@ -151,7 +151,8 @@
 	})
 }
 
-// watch has hosts watch the first one the given number of times, all at the same time.
+// watch has hosts watch the first one the given number of times, all at the same time. Each
+// round takes as long as the leader delays its answer.
 func watch(ctx context.Context, is *is.I, times int, first *host, from ...*host) {
 	for range times {
 		answers := make(chan error, len(from))
@@ -168,7 +169,8 @@
 }
 
 // If the leader of a large site sent the list of all 300 hosts to each of them, twice a second,
-// its traffic would grow with the square of the number of hosts and saturate its CPU.
+// its traffic would grow with the square of the number of hosts and saturate its CPU. So it
+// lists twelve, and the others rank after these.
 func TestWatchersGetLargestHostsOnly(t *testing.T) {
 	withHosts(t, 40, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 2, hosts[0], hosts[1:]...) // the first watch makes the watchers known
@@ -268,7 +270,7 @@
 	}
 }
 
-// The leader has just failed. A relayed request that did not reach it was not stored, and the
+// The leader is unreachable. A relayed request that did not reach it was not stored, and the
 // error says so: the client may repeat it at once.
 func TestRelayThatReachesNoHostIsNotAccepted(t *testing.T) {
 	withHosts(t, 2, func(ctx context.Context, is *is.I, hosts []*host) {
@@ -413,7 +415,7 @@
 }
 
 // A host of a newer version calls a method that this one does not know, or sends parameters
-// of another type.
+// of another type. The errors say which.
 func TestUnknownMethodAndBadParamsAreRefused(t *testing.T) {
 	is := is.New(t)
 	e := rpc.New("a", &testDispatcher{}, catalog.NewKeeper(nil), func() bool { return true })
--- a/internal/host/rpc/leadercall.go
+++ b/internal/host/rpc/leadercall.go
@@ -15,7 +15,8 @@
 }
 
 // callLeader returns the leader's answer to a call, or the result of local if this host
-// leads.
+// leads. It waits for at most callTimeout, and fails with dispatcher.ErrNotLeading if no
+// leader is known.
 func callLeader[T any](ctx context.Context, e *Endpoint, method string, in any, local func() (T, error)) (T, error) {
 	if e.election.OwnTerm() != nil {
 		return local()
@@ -52,6 +53,7 @@
 	return out.Status, out.Known, err
 }
 
+// localStatus answers Status on the leader.
 func (e *Endpoint) localStatus(ctx context.Context, id graph.JobID) (statusReply, error) {
 	status, known, err := e.dispatcher.Status(ctx, id)
 	return statusReply{Status: status, Known: known}, err
--- a/internal/host/rpc/relay.go
+++ b/internal/host/rpc/relay.go
@@ -26,6 +26,7 @@
 	Reason      string `json:"why,omitempty"`
 }
 
+// newRelayReply returns the reply for the outcome of a request that this host wrote.
 func newRelayReply(err error) relayReply {
 	if err == nil {
 		return relayReply{Done: true}
@@ -33,6 +34,7 @@
 	return relayReply{NotAccepted: errors.Is(err, entry.ErrNotAccepted), NoJob: errors.Is(err, entry.ErrNoJob), Reason: err.Error()}
 }
 
+// err returns the error that the reply reports, which wraps one of package entry's, or nil.
 func (r relayReply) err() error {
 	switch {
 	case r.Done:
@@ -68,7 +70,8 @@
 }
 
 // relay has another host write to the store: the leader, or else one with access to the
-// store. It tries the next host only if the last one certainly stored nothing.
+// store. It tries the next host only if the last one certainly stored nothing. The error wraps
+// entry.ErrNotAccepted, ErrOutcomeUnknown or ErrNoJob.
 func (e *Endpoint) relay(ctx context.Context, method string, in any) error {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -119,7 +122,9 @@
 // maxRelayAttempts bounds how many hosts are asked for one request.
 const maxRelayAttempts = 2
 
-// relayPeers returns the addresses of the hosts to ask, in order.
+// relayPeers returns the addresses of the hosts to ask, in order: the leader, then the largest
+// hosts with access to the store that watch this host, or if there are none, that the leader
+// last listed. There are at most maxRelayAttempts, and this host is not one of them.
 func (e *Endpoint) relayPeers() []string {
 	list := e.storePeerAddresses(0) // known to a leader to which the store is unavailable
 	if len(list) == 0 {
--- a/internal/host/rpc/views.go
+++ b/internal/host/rpc/views.go
@@ -29,6 +29,7 @@
 	return out.History, out.Known, err
 }
 
+// localHistory answers History on the leader.
 func (e *Endpoint) localHistory(ctx context.Context, id graph.JobID) (historyReply, error) {
 	history, known, err := e.dispatcher.History(ctx, id)
 	return historyReply{History: history, Known: known}, err
@@ -39,6 +40,7 @@
 	return callLeader(ctx, e, methodFleet, nil, func() (view.Fleet, error) { return e.localFleet(ctx) })
 }
 
+// localFleet answers Fleet on the leader, and names this host as the leader.
 func (e *Endpoint) localFleet(ctx context.Context) (view.Fleet, error) {
 	f, err := e.dispatcher.Fleet(ctx)
 	f.Leader = e.address
@@ -51,6 +53,8 @@
 	return callLeader(ctx, e, methodInForce, nil, func() ([]view.InForce, error) { return e.localInForce(), nil })
 }
 
+// localInForce answers InForce on the leader. Hosts whose last watch is older than
+// watcherExpiry are left out.
 func (e *Endpoint) localInForce() []view.InForce {
 	list := []view.InForce{{Host: e.address, Version: e.keeper.Version(), Leads: true, StoreUp: e.storeUp(), Cores: e.cores}}
 	e.mu.Lock()
@@ -66,7 +70,8 @@
 
 // Burn asks all hosts that the leader knows for their counts of ended jobs, from which burn
 // rates are computed, and merges them. Hosts that do not answer and counts that cannot be
-// merged are logged and left out.
+// merged are logged and left out. It fails if the leader does not answer. The hosts are asked
+// one after the other.
 func (e *Endpoint) Burn(ctx context.Context) (burn.Snapshot, error) {
 	hosts, err := e.InForce(ctx)
 	if err != nil {
--- a/internal/host/rpc/watch.go
+++ b/internal/host/rpc/watch.go
@@ -41,17 +41,18 @@
 	Version int64      `json:"version"` // of the leader row
 }
 
-// watcher is a host that watches the leader.
+// watcher is a host that watches this one, as its last watch described it.
 type watcher struct {
 	at      time.Time // of its last watch
-	storeUp bool
+	storeUp bool      // the store is available to it
 	cores   float64
 	version int64 // of the configuration in force there
 	zone    string
 }
 
-// handleWatch answers a watch after watchDelay, or at once when the term ends. It fetches
-// the watcher's configuration if that is newer.
+// handleWatch records the watcher and answers after watchDelay. If this host does not lead,
+// or when its term ends, it redirects the watcher at once. It fetches the watcher's
+// configuration if that is newer.
 func (e *Endpoint) handleWatch(ctx context.Context, in watchMessage) (any, error) {
 	e.recordWatcher(in)
 	if in.Version > e.keeper.Version() && in.From != "" {
@@ -70,7 +71,8 @@
 	return watchMessage{Row: e.election.Leader(), Version: e.keeper.Version(), Peers: e.listPeers(), Reach: e.ownReach()}, nil
 }
 
-// redirect names the current leader to a host that watches this one for the given term. If
+// redirect names the current leader to a host that watches this one for the given term, or
+// fails with dispatcher.ErrNotLeading if it knows of no other leader of a newer term. If
 // the store is unavailable to the watcher, it cannot read the leader row, and would otherwise
 // watch a former leader until the store is available again.
 func (e *Endpoint) redirect(term int64) (any, error) {
@@ -86,7 +88,7 @@
 	e.watchers[in.From] = watcher{at: time.Now(), storeUp: in.StoreUp, cores: in.Cores, version: in.Version, zone: in.Zone}
 }
 
-// ownReach returns what this host reaches as a leader.
+// ownReach returns what this host reaches as a leader, and raises maxZones accordingly.
 func (e *Endpoint) ownReach() reachability {
 	up := e.storeUp()
 	e.mu.Lock()
@@ -114,7 +116,8 @@
 	return list
 }
 
-// storePeers returns the hosts of storePeerAddresses. The caller holds e.mu.
+// storePeers returns the hosts of storePeerAddresses, and forgets the watchers whose last
+// watch is older than watcherExpiry. The caller holds e.mu.
 func (e *Endpoint) storePeers(minCores float64) []peerInfo {
 	var list []peerInfo
 	for address, w := range e.watchers {
@@ -156,7 +159,8 @@
 	listMaxAge = 100 * time.Millisecond
 )
 
-// listPeers returns the largest hosts to which the store is available, for watchers.
+// listPeers returns the maxListedPeers largest hosts that watch this one and to which the
+// store is available. The list may be listMaxAge old.
 func (e *Endpoint) listPeers() []peerInfo {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -168,7 +172,8 @@
 	return e.listed
 }
 
-// Watch implements leader.Peers. If the host at the address does not lead, and the store is
+// Watch implements leader.Peers. It also reports this host's state to the leader, and records
+// what the leader reports. If the host at the address does not lead, and the store is
 // unavailable to this host, it asks other hosts which leader they watch.
 func (e *Endpoint) Watch(ctx context.Context, address string, term int64) (leader.Row, error) {
 	row, err := e.watch(ctx, address, term)
@@ -183,8 +188,8 @@
 	return leader.Row{}, err
 }
 
-// otherPeers returns the addresses of hosts that the last leader listed, without this one
-// and the excluded one.
+// otherPeers returns the addresses of the largest hosts that the last leader listed, at most
+// maxOtherPeers, without this one and the excluded one.
 func (e *Endpoint) otherPeers(excluded string) (list []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -196,8 +201,10 @@
 	return list
 }
 
-// watch watches one host. A host that does not lead may name the leader, but reports no
-// reachability.
+// watch watches one host. From the answer of a leader it records the list of hosts and the
+// reachability, and fetches the leader's configuration if that is newer. A host that does
+// not lead may name the leader, which is returned, but reports nothing else. If there is no
+// answer, the leader's last report is no longer used.
 func (e *Endpoint) watch(ctx context.Context, address string, term int64) (leader.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
@@ -239,8 +246,9 @@
 // maxCandidates bounds how many hosts are asked whether they could lead.
 const maxCandidates = 3
 
-// Candidates implements leader.Peers. A host that last reported access to the store may have
-// lost it since, so each is asked to read the row now.
+// Candidates implements leader.Peers. It asks the maxCandidates largest hosts only. A host
+// that last reported access to the store may have lost it since, so each is asked to read
+// the leader row now.
 func (e *Endpoint) Candidates(ctx context.Context, minCores float64) []string {
 	ctx, cancel := context.WithTimeout(ctx, candidatesTimeout)
 	defer cancel()
@@ -262,7 +270,8 @@
 	return slices.DeleteFunc(list, func(a string) bool { return !able[a] })
 }
 
-// TransferLeadership implements leader.Peers.
+// TransferLeadership implements leader.Peers. If the host does not answer within callTimeout,
+// it returns false although the host may have taken over.
 func (e *Endpoint) TransferLeadership(ctx context.Context, address string, r leader.Row, version int64) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -271,13 +280,14 @@
 	return err == nil && accepted
 }
 
-// fetchConfiguration gets the configuration of a peer.
+// fetchConfiguration gets the configuration of a peer and puts it in force if it is newer and
+// valid. Failures are ignored: the next watch causes another attempt.
 func (e *Endpoint) fetchConfiguration(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var stored []byte
 	if err := e.transport.Call(ctx, address, methodCatalog, nil, &stored); err != nil || len(stored) == 0 {
-		return // the next watch causes another attempt
+		return
 	}
 	if ok, err := e.keeper.Offer(stored); err == nil && ok {
 		e.adopted(e.keeper.Version(), address)
