--- a/internal/host/entry/entry.go
+++ b/internal/host/entry/entry.go
@@ -77,9 +77,9 @@
 	return &Entry{store: s, leader: l, relay: r, log: log}
 }
 
-// Submit stores a job, unless it is stored already, and notifies the leader. If this host
-// cannot store it, a peer is tried. The error wraps graph.ErrInvalid, ErrNotAccepted or
-// ErrOutcomeUnknown.
+// Submit stores a job, unless one with its id is stored already, and notifies the leader. If
+// this host cannot store it, a peer is tried, except after ErrOutcomeUnknown from a slow
+// store. The error wraps graph.ErrInvalid, ErrNotAccepted or ErrOutcomeUnknown.
 func (e *Entry) Submit(ctx context.Context, j *graph.Job) error {
 	if err := j.Validate(); err != nil {
 		return err
@@ -130,7 +130,8 @@
 	return fmt.Errorf("%w (peer: %s)", own, relayErr.Error())
 }
 
-// SubmitHere stores a job by a direct call from this host to the store.
+// SubmitHere stores a job by a direct call from this host to the store. The leader is notified
+// in the background, and not of a job that was stored before.
 func (e *Entry) SubmitHere(ctx context.Context, j *graph.Job) error {
 	value, err := dispatcher.EncodeJob(j)
 	if err != nil {
@@ -151,8 +152,9 @@
 // errStoreDown is returned for a call that was not made because earlier ones failed.
 var errStoreDown = errors.New("the store does not serve this host now")
 
-// notifyLeader calls f until it succeeds or notifyTimeout has passed. In a takeover the
-// next leader would otherwise find the job only by its scan, up to a second later.
+// notifyLeader calls f until it succeeds, or gives up after notifyTimeout and logs that. In a
+// takeover the next leader would otherwise find the job only by its scan, up to a second
+// later.
 func (e *Entry) notifyLeader(ctx context.Context, step string, id graph.JobID, f func(ctx context.Context) error) {
 	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
@@ -170,7 +172,7 @@
 	}
 }
 
-// Caller is the client or operator that asks about a stored job.
+// Caller is the client or operator that reads or cancels a stored job.
 type Caller struct {
 	Account  string `json:"account,omitempty"`
 	Operator bool   `json:"operator,omitempty"` // may see and cancel the jobs of every account
@@ -182,8 +184,9 @@
 	return c.Operator || account == "" || account == c.Account
 }
 
-// Cancel stores that a job is cancelled, and notifies the leader. The error wraps ErrNoJob,
-// also for a job that the caller may not access, or ErrUnavailable.
+// Cancel stores that a job is cancelled, and notifies the leader. If this host cannot store
+// it, a peer is tried. The error wraps ErrNoJob, also for a job that the caller may not
+// access, or ErrUnavailable.
 func (e *Entry) Cancel(ctx context.Context, id graph.JobID, by Caller) error {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout(ctx, e.storeSlow()))
 	defer cancel()
@@ -197,7 +200,9 @@
 	return fmt.Errorf("%w: %w", ErrUnavailable, err)
 }
 
-// CancelHere stores a cancellation by a direct call from this host to the store.
+// CancelHere stores a cancellation by a direct call from this host to the store, and waits up
+// to cancelNotifyWait until the leader is notified. It does nothing if the cancellation is
+// stored already. The error wraps ErrNoJob, ErrNotAccepted or ErrOutcomeUnknown.
 func (e *Entry) CancelHere(ctx context.Context, id graph.JobID, by Caller) error {
 	if !e.store.Up() {
 		return fmt.Errorf("%w: %w", ErrNotAccepted, errStoreDown)
@@ -264,6 +269,7 @@
 	return status, err
 }
 
+// lookUpStatus is Status without the check of the caller.
 func (e *Entry) lookUpStatus(ctx context.Context, id graph.JobID) (view.JobStatus, error) {
 	status, known, leaderErr := e.leader.Status(ctx, id)
 	if leaderErr == nil && known {
@@ -327,7 +333,8 @@
 	return s
 }
 
-// Pending returns how many jobs of a queue have not started.
+// Pending returns how many jobs of a queue have not started, as the leader knows. The error
+// wraps ErrUnavailable.
 func (e *Entry) Pending(ctx context.Context, queue string) (int, error) {
 	n, err := e.leader.Pending(ctx, queue)
 	if err != nil {
--- a/internal/host/entry/entry_test.go
+++ b/internal/host/entry/entry_test.go
@@ -29,7 +29,8 @@
 
 var errNoLeader = errors.New("no leader")
 
-// fakeLeader is a leader that answers after a while, or not at all.
+// fakeLeader is a leader that answers notifications after latency, or nothing while it is
+// unreachable.
 type fakeLeader struct {
 	latency     time.Duration
 	unreachable bool
@@ -85,6 +86,8 @@
 	entry  *Entry
 }
 
+// newFixture returns an entry over a store without faults, whose relay returns the error
+// peer. The store's faults are random by a fixed seed.
 func newFixture(peer error) *fixture {
 	t := rows.New(storeLatency)
 	l := rows.NewLink(t, rand.New(rand.NewPCG(1, 2)))
@@ -155,7 +158,7 @@
 }
 
 // To a caller, another account's job looks as if it did not exist, and it cannot be
-// cancelled.
+// cancelled. An operator can read it.
 func TestJobsOfOtherAccounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -199,9 +202,9 @@
 	})
 }
 
-// The store applies each write and loses most of the answers. A submission neither waits
-// for a timeout nor fails with ErrOutcomeUnknown: the write is repeated soon, and the
-// conflict shows that it took effect.
+// The store applies each write and loses most of the answers, at random by a fixed seed. A
+// submission neither waits for a timeout nor fails with ErrOutcomeUnknown: the write is
+// repeated soon, and the conflict shows that it took effect.
 func TestSubmitOverLossyStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -233,7 +236,8 @@
 // The store is two hundred times slower than usual, and each partition applies one write
 // at a time. A call that is given up would be repeated by another host and by the client,
 // and all of these would wait in the same queue: every second request would fail with
-// ErrOutcomeUnknown, without end. So the call in flight is waited for.
+// ErrOutcomeUnknown, without end. So the call in flight is waited for, no peer is called, and
+// a client whose time is too short gets ErrOutcomeUnknown before its deadline.
 func TestSlowStoreIsAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -314,7 +318,8 @@
 	})
 }
 
-// The state of a job by its rows, which clients see when no leader answers.
+// Without an answer of the leader, clients see the state of a job by its rows: a saved final
+// state, or else the cancellation, or else whether it has started.
 func TestStateOf(t *testing.T) {
 	is := is.New(t)
 	is.Equal(stateOf(progress.Completed, true, true), progress.Completed) // a later cancellation has no effect
--- a/internal/host/entry/write.go
+++ b/internal/host/entry/write.go
@@ -40,8 +40,10 @@
 	lastErr        error
 }
 
-// commitOnce commits a transaction that can take effect only once, and repeats it until
-// the outcome is known. again reports that an earlier one had taken effect.
+// commitOnce commits a transaction that puts one row and expects it to be missing, and
+// repeats it until the outcome is known. again reports that the row was certainly there
+// before. The error wraps ErrNotAccepted, at once if the store is down, or ErrOutcomeUnknown
+// after the context's time, or after storeCallTimeout if the store is not slow.
 //
 // With a store that applies writes and loses the answers, each client would wait for a
 // timeout. So the row of an overdue call is read; if it is not there, the call is
@@ -114,7 +116,8 @@
 	}
 }
 
-// handleAnswer records the answer of a call, and reports whether the outcome is settled.
+// handleAnswer records the answer of a call, and reports whether the outcome is settled. If
+// so, again and result are those of commitOnce.
 func (w *pendingWrite) handleAnswer(err error) (settled, again bool, result error) {
 	w.outstanding--
 	w.lastErr = err
