--- a/internal/host/scheduler/config.go
+++ b/internal/host/scheduler/config.go
@@ -20,8 +20,10 @@
 	feedRetryPause = 150 * time.Millisecond
 )
 
-// followConfig keeps the configuration up to date from the store. While the store does
-// not serve this host, peers send the configuration.
+// followConfig keeps the configuration and the zones evacuated by rows up to date from the
+// store until the context ends. It reads the rows once, then follows the change feed, and
+// reads the rows again after a failure. While the store does not serve this host, peers send
+// the configuration.
 func (s *Scheduler) followConfig(ctx context.Context) {
 	version := int64(-1) // of the table as last read; below 0: read the row
 	readTimeout := minReadTimeout
@@ -51,6 +53,8 @@
 	}
 }
 
+// readConfig reads the row of the configuration and, if EvacuatedZone is set, all rows of its
+// partition. It applies them and returns the version after which the change feed continues.
 func (s *Scheduler) readConfig(ctx context.Context, timeout time.Duration) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -79,6 +83,9 @@
 	return page.Version, nil
 }
 
+// awaitConfig waits up to feedWait for changes of the configuration and the evacuated zones
+// after a version, applies them and returns the version after which to go on. An answer
+// without changes confirms the configuration as well.
 func (s *Scheduler) awaitConfig(ctx context.Context, after int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, feedWait+feedMargin)
 	defer cancel()
@@ -115,13 +122,13 @@
 }
 
 // Evacuations returns the zones that operators have evacuated, in the configuration or
-// by separate rows.
+// by separate rows. AsOf is when the rows were last read or confirmed.
 func (s *Scheduler) Evacuations() evacuation.Status {
 	return s.zones.Current().With(s.keeper.Current().Evacuated()...)
 }
 
-// offerRow applies a stored configuration. One that cannot be decoded is ignored, and the
-// one in force stays.
+// offerRow applies a stored configuration if it is newer than the one in force. One that
+// cannot be decoded is logged and ignored.
 func (s *Scheduler) offerRow(r store.Row) {
 	ok, err := s.keeper.Offer(r.Value)
 	if err != nil {
--- a/internal/host/scheduler/evacuation_test.go
+++ b/internal/host/scheduler/evacuation_test.go
@@ -18,6 +18,7 @@
 // evacuatedZone returns the zone that the row with the key evacuates.
 func evacuatedZone(k store.Key) (zone string, ok bool) { return strings.CutPrefix(k.Name, "away/") }
 
+// evacuated returns a condition for until: exactly these zones are evacuated.
 func (r *running) evacuated(zones ...string) func() bool {
 	return func() bool { return slices.Equal(r.Evacuations().Zones, zones) }
 }
--- a/internal/host/scheduler/freshness.go
+++ b/internal/host/scheduler/freshness.go
@@ -29,6 +29,7 @@
 	confirmed   chan struct{} // closed at the next confirmation
 }
 
+// newFreshness returns a freshness that counts as just confirmed.
 func newFreshness(c boottime.Clock) *freshness {
 	return &freshness{clock: c, confirmedAt: c(), confirmed: make(chan struct{})}
 }
--- a/internal/host/scheduler/freshness_test.go
+++ b/internal/host/scheduler/freshness_test.go
@@ -12,7 +12,8 @@
 // A host's process is paused for three seconds, while one queue is removed and another
 // added. Two requests arrive during the pause. Without waiting, the process could refuse
 // the later one by the old configuration and serve the earlier one by the new one, which
-// it reads a moment after it resumes.
+// it reads a moment after it resumes. A request waits until the store confirms the
+// configuration, for maxConfirmWait at most, or until its client gives up.
 func TestRequestsWaitForConfigurationAfterPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/host/scheduler/scheduler.go
+++ b/internal/host/scheduler/scheduler.go
@@ -134,6 +134,7 @@
 	return s
 }
 
+// storeChanged tells the election whether the store is available, and logs it.
 func (s *Scheduler) storeChanged(up bool, err error) {
 	s.election.StoreChanged(up)
 	if up {
@@ -147,7 +148,8 @@
 	s.log.Info("configuration in force", "version", version, "from", from)
 }
 
-// recordOutcome records a job that ended, for the burn report.
+// recordOutcome records a job that ended, for the burn report. It counts as good if it
+// completed, and within its own objective if the configuration has none for its service.
 func (s *Scheduler) recordOutcome(d dispatch.JobEnded) {
 	objectives := s.keeper.Current().Objectives()
 	good := d.State == progress.Completed
@@ -158,7 +160,7 @@
 	s.burn.Record(d.Job.Service, d.Job.Account, d.Took, good, time.Now())
 }
 
-// Burn returns the burn report over all hosts that answer.
+// Burn returns the burn report over all hosts that answer. It fails without a leader.
 func (s *Scheduler) Burn(ctx context.Context) (burn.Report, error) {
 	snapshot, err := s.endpoint.Burn(ctx)
 	if err != nil {
@@ -179,7 +181,7 @@
 // Entry returns the entry, which serves requests of clients.
 func (s *Scheduler) Entry() *entry.Entry { return s.entry }
 
-// Catalog returns the configuration in force.
+// Catalog returns the keeper of the configuration in force.
 func (s *Scheduler) Catalog() *catalog.Keeper { return s.keeper }
 
 // AwaitCatalog waits briefly if the configuration in force may be outdated, as after the
@@ -201,7 +203,8 @@
 // their connections.
 func (s *Scheduler) Stopping() bool { return s.stopping.Load() }
 
-// Ready reports whether the load balancer should send clients to this host. A host that
+// Ready reports whether the load balancer should send clients to this host: not before a
+// configuration is in force, nor after a planned stop has begun. A host that
 // cannot store jobs, as in a disconnected zone, would refuse all of them; if no host of a
 // zone is ready, its clients go to the next zone.
 func (s *Scheduler) Ready() bool {
@@ -218,8 +221,8 @@
 
 // Run serves peers on the listener until the context ends, then performs a planned stop:
 // it resigns leadership at once, waits until the load balancer sees that the host is not
-// ready, and calls drain to finish the requests in progress. It returns an error if the
-// listener fails.
+// ready, and calls drain to finish the requests in progress. If the listener fails, it returns
+// an error at once, and the host takes part in the election until the context ends.
 func (s *Scheduler) Run(ctx context.Context, peers net.Listener, drain func(ctx context.Context)) error {
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -243,7 +246,8 @@
 	return nil
 }
 
-// stop performs a planned stop within the stop timeout.
+// stop performs a planned stop within the stop timeout: it waits for unreadyTime, drains,
+// waits until the election has ended and closes the connections to peers.
 func (s *Scheduler) stop(ctx context.Context, electionDone chan struct{}, drain func(ctx context.Context)) {
 	s.log.Info("planned stop began", "host", s.identity.Name)
 	s.stopping.Store(true)
--- a/internal/host/scheduler/scheduler_test.go
+++ b/internal/host/scheduler/scheduler_test.go
@@ -45,6 +45,8 @@
 	logLines []string
 }
 
+// start runs a scheduler over a table of its own and without targets, with a planned stop
+// that waits 10 ms for the load balancer.
 func start(t *testing.T) *running {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -86,6 +88,7 @@
 	}
 }
 
+// logged reports whether the log so far contains a text.
 func (r *running) logged(part string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
