--- a/internal/host/peer/doc.go
+++ b/internal/host/peer/doc.go
@@ -2,6 +2,6 @@
 // over TLS if it is configured.
 //
 // A Transport keeps one connection to each peer, which it opens when it is first needed. A
-// call that fails closes the connection, so that the next call dials again, unless the peer
-// sent something on the connection during the call.
+// call without an answer closes the connection, so that the next call dials again, unless the
+// peer sent something on the connection during the call or the call was cancelled.
 package peer
--- a/internal/host/peer/transport.go
+++ b/internal/host/peer/transport.go
@@ -52,9 +52,9 @@
 	dialTCP   DialFunc
 	clientTLS ClientTLS // nil for plain TCP
 	mu        sync.Mutex
-	conns     map[string]*clientConn // by address
+	conns     map[string]*clientConn // dialed by this host, by address
 	closed    bool
-	accepted  map[*jsonrpc2.Conn]bool
+	accepted  map[*jsonrpc2.Conn]bool // dialed by peers
 }
 
 // New returns a transport that passes incoming calls to h. If clientTLS is nil, it dials
@@ -144,6 +144,8 @@
 	return jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(handle).SuppressErrClosed())
 }
 
+// rpcError returns the JSON-RPC error for an error of the handler, with a code that tells an
+// unknown method and bad parameters from all others.
 func rpcError(err error) error {
 	switch {
 	case err == nil:
@@ -158,7 +160,9 @@
 }
 
 // Call sends a call to the peer at IP:port and decodes its answer into result, or discards it
-// if result is nil. It returns when the context ends.
+// if result is nil. It returns when the context ends. The error wraps ErrUnreached if no
+// connection was established, and ErrNoMethod if the peer does not know the method. Unless
+// Answered holds or the call was not sent, the peer may have executed it.
 func (t *Transport) Call(ctx context.Context, address, method string, params, result any) error {
 	conn, err := t.conn(ctx, address)
 	if err != nil {
@@ -203,7 +207,7 @@
 	return nil
 }
 
-// conn returns the open connection to the address, or dials one.
+// conn returns the connection to the address, or dials if there is none or it was closed.
 func (t *Transport) conn(ctx context.Context, address string) (*clientConn, error) {
 	t.mu.Lock()
 	conn, ok := t.conns[address]
@@ -265,6 +269,7 @@
 	return tlsConn, nil
 }
 
+// drop closes a connection that this host dialed, so that the next call dials again.
 func (t *Transport) drop(address string, conn *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -274,7 +279,8 @@
 	_ = conn.Close()
 }
 
-// Close closes all connections. Calls in progress fail.
+// Close closes all connections, and prevents new ones. Calls in progress fail. The listener
+// of Serve stays open.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/host/peer/transport_test.go
+++ b/internal/host/peer/transport_test.go
@@ -52,6 +52,7 @@
 // Addr implements net.Listener.
 func (l *testListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1} }
 
+// dial implements peer.DialFunc. It waits until the connection is accepted.
 func (l *testListener) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	near, far := net.Pipe()
 	select {
@@ -110,8 +111,9 @@
 	})
 }
 
-// A leader with an overloaded CPU answers some calls too late. If each host closed its connection
-// for that, with all other calls on it, and dialed again, the leader's load would grow.
+// A leader with an overloaded CPU answers some calls too late. If each host closed its
+// connection for that, with all other calls on it, and dialed again, the leader's load would
+// grow. So the connection stays open if another answer arrived during the call.
 func TestTimeoutKeepsConnectionInUse(t *testing.T) {
 	withTransport(t, testHandler, func(ctx context.Context, is *is.I, l *testListener, from *peer.Transport) {
 		other := make(chan error, 1)
@@ -146,6 +148,8 @@
 	})
 }
 
+// A peer refuses calls. The errors count as its answers, the one for an unknown method can be
+// recognized, and the connection stays open.
 func TestErrorsOfAnsweredCalls(t *testing.T) {
 	refusing := func(_ context.Context, method string, _ json.RawMessage) (any, error) {
 		if method == "odd" {
@@ -164,6 +168,7 @@
 	})
 }
 
+// A peer refuses the connection. The error says that the call was not sent.
 func TestErrorOfUnreachedPeer(t *testing.T) {
 	is := is.New(t)
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
