--- a/internal/host/process/process.go
+++ b/internal/host/process/process.go
@@ -49,7 +49,8 @@
 }
 
 // New returns a process that serves on open listeners and reaches the platform through
-// the ports. The handler serves the metrics; it may be nil.
+// the ports. The handler serves the metrics; it may be nil. The error is that of reading the
+// TLS files; the listeners stay open then.
 func New(s settings.Settings, callers, peers net.Listener, ports scheduler.Ports, scope tally.Scope, metricsHandler http.Handler, log logr.Logger) (*Process, error) {
 	p := &Process{
 		settings: s, callers: netutil.LimitListener(callers, s.MaxConnections()), peers: peers,
@@ -75,8 +76,8 @@
 	return p, nil
 }
 
-// enableTLS wraps the listeners in TLS if the settings name files for it, and returns the
-// options with which peers are reached over TLS.
+// enableTLS wraps the listeners in TLS if the settings name files for it, which are reloaded
+// when they change, and returns the options with which peers are reached over TLS.
 func (p *Process) enableTLS(files settings.TLS) ([]scheduler.Option, error) {
 	logError := func(err error) { p.log.Error(err, "TLS files not reloaded", "step", "read") }
 	if files.CallerCert != "" {
@@ -131,7 +132,9 @@
 }
 
 // Run serves until the context ends, then performs a planned stop: the host resigns
-// leadership, reports that it is not ready, and finishes the requests in progress.
+// leadership, reports that it is not ready, and finishes the requests in progress. If the
+// listener for callers fails, that is logged and begins a planned stop as well; if the one
+// for peers does, Run returns the error at once.
 func (p *Process) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -147,7 +150,8 @@
 	return p.scheduler.Run(ctx, p.peers, p.drain)
 }
 
-// drain finishes the requests in progress.
+// drain closes the listener for callers and waits for the requests in progress until the
+// context ends.
 func (p *Process) drain(ctx context.Context) {
 	start := time.Now()
 	if err := p.http.Shutdown(ctx); err != nil {
--- a/internal/host/process/process_test.go
+++ b/internal/host/process/process_test.go
@@ -61,11 +61,13 @@
 	return l
 }
 
+// start runs a process with no targets and more settings text.
 func start(t *testing.T, more string) *running {
 	t.Helper()
 	return startWithMetrics(t, more, tally.NoopScope)
 }
 
+// startWithMetrics is start with a scope for the metrics.
 func startWithMetrics(t *testing.T, more string, scope tally.Scope) *running {
 	t.Helper()
 	is := is.New(t)
@@ -99,8 +101,7 @@
 const quickStop = "[limits]\nunreadyTime = 1ms\n"
 
 // An operator replaces the hash of a leaked key in the settings and sends SIGHUP. The old
-// key must be refused from then on. Settings that need a restart, such as the addresses,
-// stay.
+// key must be refused from then on, and a new limit of the body applies.
 func TestReloadAppliesKeyAndLimit(t *testing.T) {
 	is := is.New(t)
 	r := start(t, quickStop+"[operator]\nkeyHash = "+credential.NewKey("seen").Hash()+"\n")
@@ -178,7 +179,7 @@
 }
 
 // An expired certificate disconnects all callers at once. A metric gives the time of
-// expiry, so that an alert can fire before it.
+// expiry for each listener, so that an alert can fire before it.
 func TestCertificatesAreServedWithExpiryMetric(t *testing.T) {
 	is := is.New(t)
 	more, expires, roots := writeCertificate(t)
