--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -235,6 +235,7 @@
 	l.log.Info("malformed row ignored", "table", r.Key.Table, "part", r.Key.Partition, "name", r.Key.Name, "version", r.Version, "error", fmt.Sprint(err))
 }
 
+// sleep waits for d, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/host/dispatcher/recovery_test.go
+++ b/internal/host/dispatcher/recovery_test.go
@@ -32,6 +32,7 @@
 
 func newOutageStore() *outageStore { return &outageStore{Table: rows.New(0), up: make(chan struct{})} }
 
+// setDown begins or ends an outage. Its end closes the channel of recovered.
 func (o *outageStore) setDown(down bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/host/entry/entry_test.go
+++ b/internal/host/entry/entry_test.go
@@ -40,6 +40,7 @@
 	known       map[graph.JobID]view.JobStatus
 }
 
+// notify counts a notification, unless the leader is unreachable or does not lead.
 func (l *fakeLeader) notify(ctx context.Context) error {
 	if l.unreachable {
 		<-ctx.Done()
--- a/internal/host/rpc/endpoint_test.go
+++ b/internal/host/rpc/endpoint_test.go
@@ -31,6 +31,7 @@
 	calls   int
 }
 
+// err counts a call and returns its error.
 func (d *testDispatcher) err() error {
 	d.calls++
 	if !d.leads {
