--- a/internal/config/document/document.go
+++ b/internal/config/document/document.go
@@ -57,4 +57,4 @@
 }
 
 // Faults returns the faults found so far, sorted by line.
-func (d *Document) Faults() Faults { return d.faults.sorted() }
+func (d *Document) Faults() Faults { return d.faults.sortedByLine() }
--- a/internal/config/document/fault.go
+++ b/internal/config/document/fault.go
@@ -50,7 +50,8 @@
 	return fs
 }
 
-func (fs Faults) sorted() Faults {
+// sortedByLine returns a sorted copy. Faults of the same line keep their order.
+func (fs Faults) sortedByLine() Faults {
 	out := slices.Clone(fs)
 	slices.SortStableFunc(out, func(a, b Fault) int { return a.Line - b.Line })
 	return out
