--- a/internal/fleet/limiter/limit_test.go
+++ b/internal/fleet/limiter/limit_test.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// After a link becomes ten times slower, the limit shrinks within two seconds, but not
-// below its minimum.
-func TestLimitFollows(t *testing.T) {
+// After a link becomes ten times slower, the limit of orders in flight shrinks within two
+// seconds until the delay is at most twice the target, but not below its minimum.
+func TestLimitShrinksOnSlowerLink(t *testing.T) {
 	is := is.New(t)
 	l := newLimit()
 	now := start
