--- a/internal/host/dispatcher/dispatcher.go
+++ b/internal/host/dispatcher/dispatcher.go
@@ -292,8 +292,8 @@
 	}
 }
 
-// updateMetrics updates the gauges of the machine's state and of the order queue. It logs
-// waiting orders, once a second at most.
+// updateMetrics updates the gauges of the dispatch.Machine, the term and the order limiter.
+// It logs waiting orders, once a second at most.
 func (l *leadership) updateMetrics() {
 	c := l.machine.Counts()
 	guaranteed, usable := l.machine.Guarantees()
