--- a/internal/host/rpc/endpoint_test.go
+++ b/internal/host/rpc/endpoint_test.go
@@ -355,8 +355,9 @@
 	})
 }
 
-// A zone is disconnected and its connections are reset: the leader is unreachable, and the
-// store is down. The leader's last report is no longer valid, however recent.
+// A zone is disconnected: its hosts have no access to the store, and connections to the
+// leader are reset. The leader's last report no longer counts, however recent: the hosts
+// must not report that they can serve clients.
 func TestReportOfUnreachableLeaderIsDropped(t *testing.T) {
 	withHosts(t, 2, func(ctx context.Context, is *is.I, hosts []*host) {
 		watch(ctx, is, 1, hosts[0], hosts[1])
--- a/internal/host/rpc/watch.go
+++ b/internal/host/rpc/watch.go
@@ -134,9 +134,11 @@
 	return list
 }
 
-// Rank implements leader.Peers. A host that is not in the leader's last list ranks after
-// all listed ones: it may have had no access to the store, or it had just started. While
-// the store is unavailable to all hosts the list is empty, and the one before is used.
+// Rank implements leader.Peers: it returns how many hosts precede this one in the leader's
+// last list, largest first, and whether the first has at least ratio times this host's
+// cores. A host that is not in the list ranks after all listed ones: it may have had no
+// access to the store, or it had just started. While the store is unavailable to all hosts
+// the list is empty, and the one before is used.
 func (e *Endpoint) Rank(ratio float64) (rank int, muchLarger bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
