--- a/internal/report/view/view.go
+++ b/internal/report/view/view.go
@@ -99,7 +99,7 @@
 	Cores   float64 `json:"power,omitempty"` // of the host
 }
 
-// SortInForce sorts the list by host.
+// SortInForce sorts the hosts' versions in force by host address, in place.
 func SortInForce(list []InForce) {
 	slices.SortFunc(list, func(a, b InForce) int { return cmp.Compare(a.Host, b.Host) })
 }
