--- a/internal/standin/pool/running.go
+++ b/internal/standin/pool/running.go
@@ -11,8 +11,8 @@
 )
 
 // Advance advances the pool's time to now: leases lapse, and runs proceed and end. A
-// time that is not after the pool's has no effect. Steps should be short: within a step,
-// events are processed in a fixed order.
+// time that is not after the pool's has no effect. Calls should be a short time
+// apart: the events of one call are processed in a fixed order.
 func (p *Pool) Advance(now time.Time) {
 	passed := now.Sub(p.now)
 	if p.now.IsZero() || passed <= 0 {
@@ -39,7 +39,7 @@
 }
 
 // advanceTarget ends all runs of a target as lapsed if its lease has ended, without the
-// work done in the step. Otherwise it advances each run.
+// work of the time passed. Otherwise it advances each run.
 func (p *Pool) advanceTarget(t *target, passed time.Duration, now time.Time) {
 	if len(t.runs) > 0 && t.clock(now) >= t.leaseEnd {
 		t.lapsedThrough = t.lastEnd
@@ -59,8 +59,8 @@
 }
 
 // advanceRun ends a run that was stopped or whose gang is incomplete for too long.
-// Otherwise it does the work of the step, saves a checkpoint if one is due, and ends the
-// run if it fails or is done. A long-running run is never done. A run of a stalled
+// Otherwise it does the work of the time passed, saves a checkpoint if one is due, and ends
+// the run if it fails or is done. A long-running run is never done. A run of a stalled
 // target does no work but can be stopped.
 func (p *Pool) advanceRun(x *execution, passed time.Duration, now time.Time) {
 	switch {
