--- a/internal/work/dispatch/backlog.go
+++ b/internal/work/dispatch/backlog.go
@@ -76,8 +76,8 @@
 	return b.total >= b.limit
 }
 
-// throttled reports whether a step waits for pending starts. A step that must begin now
-// to meet its account's guarantee does not wait.
+// throttled reports whether no task of a step may be placed now because too many starts
+// are pending. A step that must begin now to meet its account's guarantee is not throttled.
 func (m *Machine) throttled(s *step, now time.Time) bool {
 	return m.backlog.full(s.job) && !m.guaranteeDue(s, now)
 }
--- a/internal/work/dispatch/ends.go
+++ b/internal/work/dispatch/ends.go
@@ -32,6 +32,7 @@
 		cmp.Compare(x.Index, y.Index), cmp.Compare(a.Number, b.Number))
 }
 
+// removeFrom removes all elements equal to v in place and returns the shortened list.
 func removeFrom[T comparable](list []T, v T) []T {
 	return slices.DeleteFunc(list, func(o T) bool { return o == v })
 }
