--- a/internal/host/rpc/endpoint_test.go
+++ b/internal/host/rpc/endpoint_test.go
@@ -296,7 +296,8 @@
 	})
 }
 
-// A zone with the leader in it is disconnected. Its hosts reach their leader. If they
+// A zone with the leader in it is disconnected from the store and the other zones. Its hosts
+// reach their leader, but must not take this for a store that is unavailable to all. If they
 // reported that they can serve, all clients of the zone would be refused until it is
 // connected again, although hosts of other zones can serve them.
 func TestZoneDisconnectedWithLeaderCannotServe(t *testing.T) {
--- a/internal/host/settings/settings.go
+++ b/internal/host/settings/settings.go
@@ -119,7 +119,7 @@
 // not counting the wait that a caller asked for.
 func (s Settings) RequestTimeout() time.Duration { return s.limits.RequestTimeout }
 
-// MaxWait returns the longest wait that a caller can ask for.
+// MaxWait returns the longest time that a request with ?wait= waits for the end of a job.
 func (s Settings) MaxWait() time.Duration { return s.limits.MaxWait }
 
 // UnreadyTime returns how long a planned stop keeps serving requests after the host
--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -68,7 +68,8 @@
 	return v, err
 }
 
-// Job returns the status of a job, waiting up to wait for its end.
+// Job returns the status of a job when it has ended, at the latest after wait, or after the
+// host's limit on waits if that is shorter.
 func (c *Client) Job(ctx context.Context, id string, wait time.Duration) (api.JobView, error) {
 	var v api.JobView
 	err := c.do(ctx, http.MethodGet, "/v1/jobs/"+url.PathEscape(id)+"?wait="+wait.String(), nil, &v)
--- a/internal/report/burn/series.go
+++ b/internal/report/burn/series.go
@@ -48,6 +48,8 @@
 
 func minuteOf(t time.Time) int64 { return t.Unix() / 60 }
 
+// periodOf returns the number of the period that contains t, in histogramPeriods since the
+// Unix epoch.
 func periodOf(t time.Time) int64 { return t.Unix() / int64(histogramPeriod/time.Second) }
 
 func newHistogram() *hdrhistogram.Histogram {
--- a/internal/report/burn/write.go
+++ b/internal/report/burn/write.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// WriteText writes the report as a text table.
+// WriteText writes the report as a text table of counts, burn rates, latencies and alerts
+// by service and client account.
 func (r Report) WriteText(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "service-level burn at %s, %d hosts\n", r.At.Format(time.RFC3339), len(r.Hosts))
--- a/internal/work/dispatch/listing_test.go
+++ b/internal/work/dispatch/listing_test.go
@@ -52,8 +52,8 @@
 	d.check()
 }
 
-// As above, with a gang whose members are on several targets, one of which begins to
-// drain while the gang is being saved: no member starts, not even those that come after
+// The starts of a gang on several targets are being saved, which takes the slow store a
+// second, and one of the targets begins to drain: no member starts, not even those that come after
 // the one on that target, and the whole gang is started elsewhere.
 func TestTargetDrainsWhileGangIsSaved(t *testing.T) {
 	is := is.New(t)
--- a/internal/work/dispatch/machine.go
+++ b/internal/work/dispatch/machine.go
@@ -98,7 +98,8 @@
 func (m *Machine) MarkSuperseded() { m.superseded = true }
 
 // SetGuarantees sets how many accelerators each client account is guaranteed for its
-// jobs of priority 0. It is called for each new version of the configuration.
+// jobs of priority 0, and logs when the guarantees cease to fit in the usable capacity or
+// fit again. It keeps the map. It is called for each new version of the configuration.
 func (m *Machine) SetGuarantees(byAccount map[string]int) {
 	m.guaranteed = byAccount
 	m.checkGuarantees()
--- a/internal/work/dispatch/straggler.go
+++ b/internal/work/dispatch/straggler.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// updateProgress records the progress that a target reports of a run.
+// updateProgress records the percentage that a target reports of a run, and when. Any change
+// of it ends a stall. The speed is measured from the first percentage above 0.
 func (r *run) updateProgress(percent int, now time.Time) {
 	if r.progressedAt.IsZero() || percent != r.percent {
 		r.progressedAt, r.stalled = now, false
